--- a/features/steps/expert-plan-steps.ts
+++ b/features/steps/expert-plan-steps.ts
@@ -3,12 +3,12 @@
 import {ok} from 'neverthrow';
 import {uniformFloat64} from 'pure-rand/distribution/uniformFloat64';
 import {xoroshiro128plus} from 'pure-rand/generator/xoroshiro128plus';
-import {LoadMeter} from '../../src/expert-balance/load-meter.js';
+import {LoadEstimator} from '../../src/expert-balance/load-estimator.js';
 import {planGroupMap} from '../../src/expert-balance/plan-group-map.js';
 import {PlannerElection} from '../../src/expert-balance/planner-election.js';
 import {type StoredValue} from '../../src/key-value/stored-value.js';
 import {LayerSearch} from '../../src/maps/layer-search.js';
-import {type RankFleet} from '../support/rank-fleet.js';
+import {type RankGroup} from '../support/rank-group.js';
 import {type SystemWorld} from '../support/system-world.js';
 
 type Shape = {readonly ranks: number; readonly experts: number; readonly slots: number};
@@ -81,7 +81,7 @@
 
 Then('the plan brings no rank more than {int} copies/copy', function (this: SystemWorld, most: number) {
 	const plan = this.notes.get('plan') as ReturnType<typeof planGroupMap>;
-	assert.ok(plan.mostCopies <= most && plan.copies > 0, JSON.stringify({...plan, map: undefined}));
+	assert.ok(plan.maximumCopies <= most && plan.copies > 0, JSON.stringify({...plan, map: undefined}));
 });
 
 Then('the plan lowers the skew', function (this: SystemWorld) {
@@ -92,7 +92,7 @@
 When('expert {int} is chosen for {int} seconds, and then expert {int} for {int} ms', function (this: SystemWorld, first: number, seconds: number, second: number, ms: number) {
 	const intervalMs = this.notes.get('interval') as number;
 	const ranks = 8;
-	const meter = new LoadMeter();
+	const meter = new LoadEstimator();
 	const shiftAt = seconds * 1000;
 	const chosen = Array.from({length: ranks}, () => [0, 0, 0, 0]);
 	for (let now = 0; now <= shiftAt + ms; now += intervalMs / ranks) {
@@ -101,10 +101,10 @@
 		const after = Math.min(1, Math.max(0, (now - shiftAt) / intervalMs));
 		chosen[rank][second] += 100 * after;
 		chosen[rank][first] += 100 * (1 - after);
-		meter.take(rank, {step: now, epoch: 1, chosen: [[...chosen[rank]]]}, now);
+		meter.record(rank, {step: now, epoch: 1, chosen: [[...chosen[rank]]]}, now);
 	}
 
-	const [loads] = meter.get(shiftAt + ms);
+	const [loads] = meter.getLoads(shiftAt + ms);
 	this.notes.set('share', loads[first] / (loads[first] + loads[second]));
 });
 
@@ -114,17 +114,17 @@
 });
 
 When('the group is formed anew', function (this: SystemWorld) {
-	const fleet = this.notes.get('fleet') as RankFleet;
+	const fleet = this.notes.get('fleet') as RankGroup;
 	this.notes.set('lines', fleet.log.length);
 	fleet.group.reform();
 });
 
 When('{int} ms of its work pass', async function (this: SystemWorld, ms: number) {
-	await (this.notes.get('fleet') as RankFleet).run(ms);
+	await (this.notes.get('fleet') as RankGroup).run(ms);
 });
 
 Then('a map for the new epoch has been proposed', function (this: SystemWorld) {
-	const {log, group} = this.notes.get('fleet') as RankFleet;
+	const {log, group} = this.notes.get('fleet') as RankGroup;
 	const lines = log.slice(this.notes.get('lines') as number);
 	assert.ok(lines.some(line => line.includes(`epoch ${group.epoch}: map`)), lines.join('\n'));
 });
--- a/features/steps/map-switch-steps.ts
+++ b/features/steps/map-switch-steps.ts
@@ -5,7 +5,7 @@
 
 const getGroup = (world: SystemWorld): MapGroup => world.notes.get('group') as MapGroup;
 
-const failuresOf = (group: MapGroup): void => {
+const injectFaults = (group: MapGroup): void => {
 	const {random} = group;
 	if (random() < 0.01) {
 		group.restartParticipant(Math.floor(random() * group.ranks));
@@ -24,15 +24,15 @@
 	}
 
 	if (random() < 0.02) {
-		group.parcels.reverse();
+		group.envelopes.reverse();
 	}
 };
 
-const torment = async (seed: number): Promise<MapGroup> => {
+const runFaults = async (seed: number): Promise<MapGroup> => {
 	const group = new MapGroup(4, seed % 3 !== 0, seed);
 	const {random} = group;
 	group.isLost = () => random() < 0.05;
-	group.isDoubled = () => random() < 0.1;
+	group.isDuplicated = () => random() < 0.1;
 	let fence = 1;
 	for (let turn = 0; turn < 400; turn++) {
 		if (random() < 0.05) {
@@ -40,12 +40,12 @@
 			group.propose(isStale ? Math.max(1, fence - 1) : ++fence, Math.max(...group.epochs) + 1);
 		}
 
-		failuresOf(group);
+		injectFaults(group);
 		await group.turn();
 	}
 
 	group.isLost = () => false;
-	group.isDoubled = () => false;
+	group.isDuplicated = () => false;
 	group.lostAnswers = 0;
 	for (const rank of group.engines.ranks) {
 		rank.isStalled = false;
@@ -95,7 +95,7 @@
 
 When('the process of every rank restarts', function (this: SystemWorld) {
 	const group = getGroup(this);
-	group.parcels.length = 0;
+	group.envelopes.length = 0;
 	group.restartCoordinator();
 	for (let rank = 0; rank < group.ranks; rank++) {
 		group.restartParticipant(rank);
@@ -125,7 +125,7 @@
 
 Given('the orders to rank 3 of proposal 5 are delayed', function (this: SystemWorld) {
 	const group = getGroup(this);
-	const delayed: MapGroup['parcels'] = [];
+	const delayed: MapGroup['envelopes'] = [];
 	this.notes.set('delayed', delayed);
 	group.isLost = parcel => {
 		const isDelayed = parcel.to === 3 && 'fence' in parcel.message && parcel.message.fence === 5;
@@ -142,7 +142,7 @@
 	assert.ok(await group.runUntil(() => group.engines.ranks[3].staged?.map[0][0][0] === 6));
 	group.isLost = () => false;
 	// They come before anything that is on the way now.
-	group.parcels.unshift(...this.notes.get('delayed') as MapGroup['parcels']);
+	group.envelopes.unshift(...this.notes.get('delayed') as MapGroup['envelopes']);
 });
 
 Given('the platform cannot be asked for fencing numbers', function (this: SystemWorld) {
@@ -159,7 +159,7 @@
 Then('the switch ends', async function (this: SystemWorld) {
 	const group = getGroup(this);
 	const isOver = (): boolean => ['idle', 'unread'].includes(group.coordinator.state) && group.participants.every(({state}) => state !== 'prepared');
-	assert.ok(await group.runUntil(() => group.parcels.length === 0 && isOver()));
+	assert.ok(await group.runUntil(() => group.envelopes.length === 0 && isOver()));
 });
 
 Then(/^all ranks come to use epoch (\d+)$/, async function (this: SystemWorld, epoch: string) { // eslint-disable-line require-unicode-regexp
@@ -198,7 +198,7 @@
 When('{int} groups of {int} ranks switch maps while messages are lost, doubled and late, ranks stall and processes restart', async function (this: SystemWorld, count: number, _ranks: number) {
 	const groups: MapGroup[] = [];
 	for (let seed = 1; seed <= count; seed++) {
-		groups.push(await torment(seed));
+		groups.push(await runFaults(seed));
 	}
 
 	this.notes.set('groups', groups);
--- a/features/steps/planner-term-steps.ts
+++ b/features/steps/planner-term-steps.ts
@@ -1,16 +1,16 @@
 import assert from 'node:assert/strict';
 import {Given, Then, When} from '@cucumber/cucumber';
-import {OfficeCrowd} from '../support/office-crowd.js';
+import {ElectionCluster} from '../support/election-cluster.js';
 import {type SystemWorld} from '../support/system-world.js';
 
-const getCrowd = (world: SystemWorld): OfficeCrowd => world.notes.get('offices') as OfficeCrowd;
+const getCrowd = (world: SystemWorld): ElectionCluster => world.notes.get('offices') as ElectionCluster;
 const longScenarioMs = 60_000;
 const settleMs = 3000;
 /** Time after the last trouble of a mixture, milliseconds. */
-const calmMs = 8000;
+const recoveryMs = 8000;
 
 Given('{int} processes that seek a planner\'s office in a store', function (this: SystemWorld, count: number) {
-	const crowd = new OfficeCrowd(count, 3);
+	const crowd = new ElectionCluster(count, 3);
 	this.onClose(() => {
 		crowd.close();
 	});
@@ -27,10 +27,10 @@
 	await crowd.pass(settleMs);
 	if (moment === 'after a term in the copy') {
 		crowd.store.takeCopy();
-		const [first] = crowd.listInOffice();
-		first.isFrozen = true;
+		const [first] = crowd.listPlanners();
+		first.isSuspended = true;
 		await crowd.pass(settleMs + settleMs);
-		first.isFrozen = false;
+		first.isSuspended = false;
 		await crowd.pass(settleMs);
 	}
 
@@ -44,16 +44,16 @@
 });
 
 When('the store comes back from that copy after {int} ms', async function (this: SystemWorld, awayMs: number) {
-	await getCrowd(this).drill(awayMs);
+	await getCrowd(this).restoreStore(awayMs);
 });
 
 When('it is lost, and the store comes back from that copy after {int} ms', async function (this: SystemWorld, awayMs: number) {
 	const crowd = getCrowd(this);
-	const [lost] = crowd.listInOffice();
-	lost.isFrozen = true;
+	const [lost] = crowd.listPlanners();
+	lost.isSuspended = true;
 	lost.view.close();
 	crowd.candidates.splice(crowd.candidates.indexOf(lost), 1);
-	await crowd.drill(awayMs);
+	await crowd.restoreStore(awayMs);
 });
 
 When('they go on for {int} ms', {timeout: longScenarioMs}, async function (this: SystemWorld, ms: number) {
@@ -62,7 +62,7 @@
 
 When('drills and planners that stand still are mixed by seed {int} for {int} ms', {timeout: longScenarioMs}, async function (this: SystemWorld, seed: number, ms: number) {
 	getCrowd(this).close();
-	const crowd = new OfficeCrowd(getCrowd(this).candidates.length, seed);
+	const crowd = new ElectionCluster(getCrowd(this).candidates.length, seed);
 	this.notes.set('offices', crowd);
 	this.onClose(() => {
 		crowd.close();
@@ -75,7 +75,7 @@
 		const trouble = crowd.draw(5);
 		switch (trouble) {
 			case 0: {
-				await crowd.drill(crowd.draw(2) * crowd.draw(2500));
+				await crowd.restoreStore(crowd.draw(2) * crowd.draw(2500));
 
 				break;
 			}
@@ -87,7 +87,7 @@
 			}
 
 			case 2: {
-				candidate.isFrozen = !candidate.isFrozen;
+				candidate.isSuspended = !candidate.isSuspended;
 
 				break;
 			}
@@ -99,15 +99,15 @@
 	}
 
 	for (const candidate of crowd.candidates) {
-		candidate.isFrozen = false;
+		candidate.isSuspended = false;
 	}
 
-	await crowd.pass(calmMs);
+	await crowd.pass(recoveryMs);
 });
 
 Then('one of them is in office', function (this: SystemWorld) {
 	const crowd = getCrowd(this);
-	assert.deepEqual(crowd.listInOffice().map(({id}) => `rank-${id}`), [crowd.store.read('office')]);
+	assert.deepEqual(crowd.listPlanners().map(({id}) => `rank-${id}`), [crowd.store.read('office')]);
 });
 
 Then('no term was as high as one before', function (this: SystemWorld) {
--- a/features/support/office-crowd.ts
+++ b/features/support/election-cluster.ts
@@ -7,16 +7,16 @@
 import {unguarded} from '../../src/view/unguarded.js';
 import {MemoryStore} from '../../stand-ins/forward/memory-store.js';
 
-type Candidate = {readonly id: string; readonly view: StoreView; readonly election: PlannerElection; term: number | undefined; isFrozen: boolean};
+type Candidate = {readonly id: string; readonly view: StoreView; readonly election: PlannerElection; term: number | undefined; isSuspended: boolean};
 
-const officeKey = 'office';
+const plannerKey = 'office';
 const turnMs = 10;
 const tickMs = 100;
 const waitMs = 12_000;
 const longestPauseMs = 2000;
 
 /** Processes that seek one planner's office in a store, by one clock. */
-export class OfficeCrowd {
+export class ElectionCluster {
 	now = 0;
 	readonly store = new MemoryStore(() => this.now);
 	readonly candidates: Candidate[] = [];
@@ -42,7 +42,7 @@
 	}
 
 	/** Who is in office by own account. */
-	listInOffice(): Candidate[] {
+	listPlanners(): Candidate[] {
 		return this.candidates.filter(({election}) => election.term !== undefined);
 	}
 
@@ -54,7 +54,7 @@
 	}
 
 	/** The store goes away and comes back from its copy. */
-	async drill(awayMs: number): Promise<void> {
+	async restoreStore(awayMs: number): Promise<void> {
 		if (awayMs > 0) {
 			this.setFault('down');
 			await this.pass(awayMs);
@@ -75,7 +75,7 @@
 				this.tick();
 			}
 
-			this.look();
+			this.recordTerms();
 		}
 	}
 
@@ -89,15 +89,15 @@
 	}
 
 	private tick(): void {
-		for (const {view, election, isFrozen} of this.candidates) {
+		for (const {view, election, isSuspended: isFrozen} of this.candidates) {
 			if (!isFrozen) {
 				view.tick(this.now);
-				void election.tick(this.now, view.isKnown ? {era: view.asOf.era, holder: view.get(officeKey), stored: view.getStored(officeKey)} : undefined, false);
+				void election.tick(this.now, view.isKnown ? {era: view.asOf.era, holder: view.get(plannerKey), stored: view.getStored(plannerKey)} : undefined, false);
 			}
 		}
 	}
 
-	private look(): void {
+	private recordTerms(): void {
 		for (const candidate of this.candidates) {
 			const {term} = candidate.election;
 			if (term !== undefined && term !== candidate.term) {
@@ -107,7 +107,7 @@
 			candidate.term = term;
 		}
 
-		this.vacantMs = this.listInOffice().length > 0 ? 0 : this.vacantMs + turnMs;
+		this.vacantMs = this.listPlanners().length > 0 ? 0 : this.vacantMs + turnMs;
 		this.longestVacancyMs = Math.max(this.longestVacancyMs, this.vacantMs);
 	}
 
@@ -115,7 +115,7 @@
 		const store = this.store.open(id);
 		const view = new StoreView({
 			feed: store,
-			prefix: officeKey,
+			prefix: plannerKey,
 			guard: unguarded,
 			waitMs,
 			longestPauseMs,
@@ -132,10 +132,10 @@
 			id,
 			view,
 			election: new PlannerElection({
-				registry: store, key: officeKey, address: `rank-${id}`, random: this.random, log: String,
+				registry: store, key: plannerKey, address: `rank-${id}`, random: this.random, log: String,
 			}),
 			term: undefined,
-			isFrozen: false,
+			isSuspended: false,
 		};
 	}
 }
--- a/features/support/entry-crowd.ts
+++ b/features/support/entry-crowd.ts
@@ -7,7 +7,7 @@
 import {StoreView} from '../../src/view/store-view.js';
 import {unguarded} from '../../src/view/unguarded.js';
 import {MemoryStore} from '../../stand-ins/forward/memory-store.js';
-import {NarrowNetwork} from './narrow-network.js';
+import {LimitedNetwork} from './limited-network.js';
 
 type Member = {
 	readonly address: string;
@@ -34,7 +34,7 @@
 	readonly members: Member[] = [];
 	private isBusy = true;
 	private readonly random: () => number;
-	private readonly network = new NarrowNetwork({bytesPerSecond, latencyMs: 2, clock: () => this.now});
+	private readonly network = new LimitedNetwork({bytesPerSecond, latencyMs: 2, clock: () => this.now});
 
 	constructor(private readonly options: CrowdOptions) {
 		const generator = xoroshiro128plus(options.seed);
--- a/features/support/narrow-network.ts
+++ b/features/support/limited-network.ts
@@ -4,8 +4,8 @@
 
 type Host = {
 	/** When what was given to the VM's link before has left it, and has come in by it, milliseconds. */
-	outFreeAt: number;
-	inFreeAt: number;
+	uplinkFreeAt: number;
+	downlinkFreeAt: number;
 	/** What the VM has sent so far. */
 	sentBytes: number;
 	accept?: (connection: LinkConnection) => void;
@@ -33,7 +33,7 @@
 });
 
 /** Links in memory between VMs whose own links carry so many bytes a second each way, and queue what is more. */
-export class NarrowNetwork {
+export class LimitedNetwork {
 	private readonly hosts = new Map<string, Host>();
 
 	constructor(private readonly options: NetworkOptions) {}
@@ -67,7 +67,7 @@
 	}
 
 	/** Cuts what a process has open and listens with, as its end does. */
-	forget(address: string): void {
+	disconnect(address: string): void {
 		this.getHost(address).accept = undefined;
 	}
 
@@ -104,7 +104,7 @@
 			},
 			send: (message: LinkMessage): boolean => {
 				if (state.isOpen) {
-					leavesAt = this.carry(here, there, message, () => {
+					leavesAt = this.transmit(here, there, message, () => {
 						if (state.isOpen && this.isReachable(here, there)) {
 							other.receive(message);
 						}
@@ -120,7 +120,7 @@
 	}
 
 	/* Gives when the message has come in: until then what follows on the connection waits at its sender. */
-	private carry(from: string, to: string, message: LinkMessage, deliver: () => void): number {
+	private transmit(from: string, to: string, message: LinkMessage, deliver: () => void): number {
 		const {bytesPerSecond, latencyMs, clock} = this.options;
 		const now = clock();
 		const {length} = encodeFrame(message);
@@ -128,14 +128,14 @@
 		const sender = this.getHost(from);
 		sender.sentBytes += length;
 		const receiver = this.getHost(to);
-		sender.outFreeAt = Math.max(now, sender.outFreeAt) + takesMs;
-		receiver.inFreeAt = Math.max(sender.outFreeAt + latencyMs, receiver.inFreeAt) + takesMs;
-		setTimeout(deliver, receiver.inFreeAt - now);
-		return receiver.inFreeAt;
+		sender.uplinkFreeAt = Math.max(now, sender.uplinkFreeAt) + takesMs;
+		receiver.downlinkFreeAt = Math.max(sender.uplinkFreeAt + latencyMs, receiver.downlinkFreeAt) + takesMs;
+		setTimeout(deliver, receiver.downlinkFreeAt - now);
+		return receiver.downlinkFreeAt;
 	}
 
 	private getHost(address: string): Host {
-		const host = this.hosts.get(address) ?? {outFreeAt: 0, inFreeAt: 0, sentBytes: 0};
+		const host = this.hosts.get(address) ?? {uplinkFreeAt: 0, downlinkFreeAt: 0, sentBytes: 0};
 		this.hosts.set(address, host);
 		return host;
 	}
--- a/features/support/map-group.ts
+++ b/features/support/map-group.ts
@@ -1,12 +1,12 @@
 import {uniformFloat64} from 'pure-rand/distribution/uniformFloat64';
 import {xoroshiro128plus} from 'pure-rand/generator/xoroshiro128plus';
 import {type LinkMessage} from '../../src/link/link-message.js';
-import {type EngineOrders} from '../../src/map-switch/engine-orders.js';
+import {type EngineClient} from '../../src/map-switch/engine-client.js';
 import {MapCoordinator} from '../../src/map-switch/map-coordinator.js';
 import {MapParticipant} from '../../src/map-switch/map-participant.js';
 import {EngineGroup} from '../../stand-ins/engine/engine-group.js';
 
-type Parcel = {readonly to: number | 'coordinator'; readonly message: LinkMessage};
+type Envelope = {readonly to: number | 'coordinator'; readonly message: LinkMessage};
 
 const tickMs = 100;
 
@@ -18,19 +18,19 @@
 	coordinator: MapCoordinator;
 	readonly commits: number[] = [];
 	/** Messages on the way. */
-	parcels: Parcel[] = [];
+	envelopes: Envelope[] = [];
 	/** Orders to rank 0's engine whose answer is lost after they took effect, still to come. */
 	lostAnswers = 0;
 	/** Fencing number that the platform names; undefined while the platform is down. */
 	platformFence: number | undefined = 0;
 	readonly random: () => number;
 	/** Says of each message whether it is lost, and whether it is delivered twice. */
-	isLost: (parcel: Parcel) => boolean;
-	isDoubled: () => boolean;
+	isLost: (parcel: Envelope) => boolean;
+	isDuplicated: () => boolean;
 
 	constructor(readonly ranks: number, readonly checksFencing: boolean, seed = 1) {
 		this.isLost = () => false;
-		this.isDoubled = () => false;
+		this.isDuplicated = () => false;
 		this.engines = new EngineGroup(ranks, checksFencing);
 		const generator = xoroshiro128plus(seed);
 		this.random = () => uniformFloat64(generator);
@@ -44,7 +44,7 @@
 	/** Puts a planner's proposal on the way. */
 	propose(fence: number, epoch: number): void {
 		this.platformFence = this.platformFence === undefined ? undefined : Math.max(this.platformFence, fence);
-		this.parcels.push({
+		this.envelopes.push({
 			to: 'coordinator',
 			message: {
 				type: 'map-propose', fence, epoch, step: 0, map: [[[fence]]],
@@ -63,14 +63,14 @@
 	/** One turn: delivers what is on the way, lets every part see the time, and runs a step if all ranks can. */
 	async turn(): Promise<boolean> {
 		this.now += tickMs;
-		const parcels = this.parcels.splice(0);
-		for (const parcel of parcels) {
-			if (!this.isLost(parcel)) {
-				await this.deliver(parcel);
+		const due = this.envelopes.splice(0);
+		for (const envelope of due) {
+			if (!this.isLost(envelope)) {
+				await this.deliver(envelope);
 			}
 
-			if (this.isDoubled()) {
-				this.parcels.push(parcel);
+			if (this.isDuplicated()) {
+				this.envelopes.push(envelope);
 			}
 		}
 
@@ -102,7 +102,7 @@
 		return [...new Set(this.engines.ranks.map(({epoch}) => epoch))];
 	}
 
-	private async deliver({to, message}: Parcel): Promise<void> {
+	private async deliver({to, message}: Envelope): Promise<void> {
 		await (to === 'coordinator' ? this.coordinator.receive(message, this.now) : this.participants[to].receive(message));
 	}
 
@@ -117,10 +117,10 @@
 	private makeParticipant(rank: number): MapParticipant {
 		return new MapParticipant({
 			rank,
-			engine: this.makeOrders(rank),
+			engine: this.makeEngineClient(rank),
 			checksFencing: this.checksFencing,
 			send: message => {
-				this.parcels.push({to: 'coordinator', message});
+				this.envelopes.push({to: 'coordinator', message});
 			},
 			readFence: async () => this.readFence(),
 		});
@@ -129,11 +129,11 @@
 	private makeCoordinator(): MapCoordinator {
 		return new MapCoordinator({
 			ranks: this.ranks,
-			engine: this.makeOrders(0),
+			engine: this.makeEngineClient(0),
 			checksFencing: this.checksFencing,
 			readFence: async () => this.readFence(),
 			send: (to, message) => {
-				this.parcels.push({to, message});
+				this.envelopes.push({to, message});
 			},
 			onCommit: epoch => {
 				this.commits.push(epoch);
@@ -142,7 +142,7 @@
 		});
 	}
 
-	private makeOrders(rank: number): EngineOrders {
+	private makeEngineClient(rank: number): EngineClient {
 		const state = this.engines.ranks[rank];
 		const order = async (fence: number, work: () => boolean): Promise<boolean> => {
 			if (state.isStalled) {
--- a/features/support/rank-fleet.ts
+++ b/features/support/rank-group.ts
@@ -4,12 +4,12 @@
 import {BalanceSettings} from '../../src/expert-balance/balance-settings.js';
 import {GroupController} from '../../src/expert-balance/group-controller.js';
 import {type RankEngine} from '../../src/expert-balance/rank-engine.js';
-import {RankMember} from '../../src/expert-balance/rank-member.js';
+import {RankAgent} from '../../src/expert-balance/rank-agent.js';
 import {type RankOrder} from '../../src/expert-balance/rank-order.js';
 import {type LinkMessage} from '../../src/link/link-message.js';
 import {LockstepGroup} from '../../stand-ins/engine/lockstep-group.js';
 
-type Planner = {readonly term: number; readonly rank: number; readonly controller: GroupController; readonly aheadMs: number; isAlive: boolean; isFrozen: boolean};
+type Planner = {readonly term: number; readonly rank: number; readonly controller: GroupController; readonly clockOffsetMs: number; isAlive: boolean; isSuspended: boolean};
 
 const turnMs = 20;
 const shape = {
@@ -17,7 +17,7 @@
 };
 
 /** A group with the processes beside its ranks and one planner or more, joined in memory; the scenario decides what fails. */
-export class RankFleet {
+export class RankGroup {
 	now = 0;
 	readonly group: LockstepGroup;
 	readonly log: string[] = [];
@@ -25,15 +25,15 @@
 	/** Share of the messages between processes that are lost. */
 	lossShare = 0;
 	/** Members that stand still. */
-	readonly frozen = new Set<number>();
+	readonly suspended = new Set<number>();
 	readonly random: () => number;
 	/** Whether an entry is there to give orders for planners, and how many it gave. */
 	hasEntry = false;
-	orderedAside = 0;
+	ordersViaEntry = 0;
 	/** Time that a message between processes takes, milliseconds. */
 	latencyMs = 0;
-	private readonly members: RankMember[] = [];
-	private waiting: Array<{readonly dueAt: number; readonly isHere: () => boolean; readonly take: () => void}> = [];
+	private readonly agents: RankAgent[] = [];
+	private inTransit: Array<{readonly dueAt: number; readonly isHere: () => boolean; readonly take: () => void}> = [];
 	/** Planner that each member reports to. */
 	private readonly followed: Array<Planner | undefined> = [];
 
@@ -44,23 +44,23 @@
 			shape, passMs, random: this.random, lateShare: 0, unansweredShare: 0,
 		});
 		for (let rank = 0; rank < shape.ranks; rank++) {
-			this.restartMember(rank);
+			this.restartAgent(rank);
 		}
 	}
 
 	/**
 	 * Begins a term of office beside a rank; the members hear of it when `follow` says so.
 	 *
-	 * @param aheadMs - how far the planner's clock is ahead of the others'
+	 * @param clockOffsetMs - how far the planner's clock is ahead of the others'
 	 */
-	elect(rank: number, aheadMs = 0): Planner {
+	startPlanner(rank: number, clockOffsetMs = 0): Planner {
 		const term = this.planners.length + 1;
 		const planner: Planner = {
 			term,
 			rank,
-			aheadMs,
+			clockOffsetMs,
 			isAlive: true,
-			isFrozen: false,
+			isSuspended: false,
 			controller: new GroupController({
 				group: 'group',
 				term,
@@ -68,9 +68,9 @@
 				settings: BalanceSettings.parse({}),
 				getShape: () => shape,
 				send: (to, message) => this.deliver(planner, to, message),
-				giveAside: (address, order) => this.giveAside(Number(address), order),
+				orderViaEntry: (address, order) => this.orderViaEntry(Number(address), order),
 				listEngines: async () => ['0', '1', '2', '3'],
-				openEngine: address => this.openFromAfar(Number(address)),
+				openEngine: address => this.openRemotely(Number(address)),
 				log: line => {
 					this.log.push(`${this.now} term ${term}: ${line}`);
 				},
@@ -83,17 +83,17 @@
 	/** Lets a member know who is in office. */
 	follow(rank: number, planner: Planner): void {
 		this.followed[rank] = planner;
-		this.members[rank].hearTerm(planner.term);
+		this.agents[rank].recordTerm(planner.term);
 	}
 
 	followAll(planner: Planner): void {
-		for (const rank of this.members.keys()) {
+		for (const rank of this.agents.keys()) {
 			this.follow(rank, planner);
 		}
 	}
 
-	restartMember(rank: number): void {
-		this.members[rank] = new RankMember({
+	restartAgent(rank: number): void {
+		this.agents[rank] = new RankAgent({
 			engine: this.group.open(rank),
 			engineAddress: String(rank),
 			clock: () => this.now,
@@ -104,7 +104,7 @@
 		});
 		const planner = this.followed[rank];
 		if (planner) {
-			this.members[rank].hearTerm(planner.term);
+			this.agents[rank].recordTerm(planner.term);
 		}
 	}
 
@@ -115,16 +115,16 @@
 			this.now += turnMs;
 			cause?.();
 			this.group.advance(this.now);
-			this.deliverWaiting();
-			for (const [rank, member] of this.members.entries()) {
-				if (!this.frozen.has(rank)) {
+			this.deliverDue();
+			for (const [rank, member] of this.agents.entries()) {
+				if (!this.suspended.has(rank)) {
 					void member.tick(this.now);
 				}
 			}
 
 			for (const planner of this.planners) {
-				if (planner.isAlive && !planner.isFrozen) {
-					void planner.controller.tick(this.now + planner.aheadMs);
+				if (planner.isAlive && !planner.isSuspended) {
+					void planner.controller.tick(this.now + planner.clockOffsetMs);
 				}
 			}
 
@@ -133,21 +133,21 @@
 	}
 
 	/* An entry's VM gives the order; it may be lost right after. */
-	private giveAside(rank: number, order: RankOrder): boolean {
+	private orderViaEntry(rank: number, order: RankOrder): boolean {
 		if (!this.hasEntry) {
 			return false;
 		}
 
-		void this.openFromAfar(rank).order(order);
-		this.orderedAside++;
+		void this.openRemotely(rank).order(order);
+		this.ordersViaEntry++;
 		return true;
 	}
 
 	/* The engine of a VM that stands still goes on with its group, and answers nobody. */
-	private openFromAfar(rank: number): RankEngine {
+	private openRemotely(rank: number): RankEngine {
 		const engine = this.group.open(rank);
 		const check = (): void => {
-			if (this.frozen.has(rank)) {
+			if (this.suspended.has(rank)) {
 				throw new Error('no answer');
 			}
 		};
@@ -165,7 +165,7 @@
 				check();
 				return engine.readPlacement();
 			},
-			order: async order => this.frozen.has(rank) ? 'unknown' : engine.order(order),
+			order: async order => this.suspended.has(rank) ? 'unknown' : engine.order(order),
 		};
 	}
 
@@ -175,16 +175,16 @@
 		}
 
 		// What is sent to a process that stands still waits in its socket.
-		this.send(() => !this.frozen.has(rank), () => {
-			this.members[rank].receive(message);
+		this.send(() => !this.suspended.has(rank), () => {
+			this.agents[rank].receive(message);
 		});
 		return planner.isAlive;
 	}
 
-	private deliverWaiting(): void {
-		const isDue = ({dueAt, isHere}: (typeof this.waiting)[number]): boolean => dueAt <= this.now && isHere();
-		const due = this.waiting.filter(message => isDue(message));
-		this.waiting = this.waiting.filter(message => !isDue(message));
+	private deliverDue(): void {
+		const isDue = ({dueAt, isHere}: (typeof this.inTransit)[number]): boolean => dueAt <= this.now && isHere();
+		const due = this.inTransit.filter(message => isDue(message));
+		this.inTransit = this.inTransit.filter(message => !isDue(message));
 		for (const {take} of due) {
 			take();
 		}
@@ -194,21 +194,21 @@
 		if (this.latencyMs === 0 && isHere()) {
 			take();
 		} else {
-			this.waiting.push({dueAt: this.now + this.latencyMs, isHere, take});
+			this.inTransit.push({dueAt: this.now + this.latencyMs, isHere, take});
 		}
 	}
 
 	private report(rank: number, message: LinkMessage): boolean {
 		const planner = this.followed[rank];
-		if (!planner?.isAlive || planner.isFrozen || this.random() < this.lossShare) {
+		if (!planner?.isAlive || planner.isSuspended || this.random() < this.lossShare) {
 			return false;
 		}
 
-		this.send(() => planner.isAlive && !planner.isFrozen, () => {
+		this.send(() => planner.isAlive && !planner.isSuspended, () => {
 			if (message.type === 'rank-status') {
-				planner.controller.hear(message, this.now + planner.aheadMs);
+				planner.controller.handleReport(message, this.now + planner.clockOffsetMs);
 			} else if (message.type === 'rank-outcome') {
-				planner.controller.hearOutcome(message);
+				planner.controller.handleOutcome(message);
 			}
 		});
 		return true;
--- a/features/support/rank-service.ts
+++ b/features/support/rank-service.ts
@@ -10,7 +10,7 @@
 import {type LinkConnection} from '../../src/link/link-connection.js';
 import {LockstepGroup} from '../../stand-ins/engine/lockstep-group.js';
 import {MemoryStore} from '../../stand-ins/forward/memory-store.js';
-import {NarrowNetwork} from './narrow-network.js';
+import {LimitedNetwork} from './limited-network.js';
 
 type ServiceOptions = {
 	readonly groups: number;
@@ -36,7 +36,7 @@
 	readonly groups: LockstepGroup[] = [];
 	readonly log: string[] = [];
 	private readonly store = new MemoryStore();
-	private readonly network: NarrowNetwork;
+	private readonly network: LimitedNetwork;
 	private readonly processes: RankProcess[] = [];
 	private readonly engines = new Map<string, RankEngine>();
 	private readonly random: () => number;
@@ -44,14 +44,14 @@
 	constructor(private readonly options: ServiceOptions) {
 		const generator = xoroshiro128plus(options.seed);
 		this.random = () => uniformFloat64(generator);
-		this.network = new NarrowNetwork({bytesPerSecond: options.bytesPerSecond, latencyMs, clock: () => this.now});
+		this.network = new LimitedNetwork({bytesPerSecond: options.bytesPerSecond, latencyMs, clock: () => this.now});
 		for (let index = 0; index < options.groups; index++) {
 			this.groups.push(this.makeGroup(index));
 		}
 
 		this.store.put(`wardswitch/entries/${entryAddress}`, entryAddress);
 		this.network.listen(entryAddress, connection => {
-			this.giveOrders(connection);
+			this.forwardOrders(connection);
 		});
 	}
 
@@ -139,7 +139,7 @@
 		process.start();
 	}
 
-	private giveOrders(connection: LinkConnection): void {
+	private forwardOrders(connection: LinkConnection): void {
 		connection.onMessage(async message => {
 			if (message.type === 'engine-order') {
 				const outcome = await this.engines.get(message.engineAddress)!.order(message.order);
--- a/features/support/store-crowd.ts
+++ b/features/support/store-crowd.ts
@@ -4,7 +4,7 @@
 import {xoroshiro128plus} from 'pure-rand/generator/xoroshiro128plus';
 import {type Target} from '../../src/fleet/target.js';
 import {MemoryStore} from '../../stand-ins/forward/memory-store.js';
-import {NarrowNetwork} from './narrow-network.js';
+import {LimitedNetwork} from './limited-network.js';
 import {openStoreEntry} from './open-store-entry.js';
 import {reachStore} from './reach-store.js';
 import {type StoreEntry} from './store-entry.js';
@@ -62,7 +62,7 @@
 	private readonly callsPerSecond = new Map<string, number>();
 	private configuredAt = 0;
 	private readonly random: () => number;
-	private readonly network = new NarrowNetwork({
+	private readonly network = new LimitedNetwork({
 		bytesPerSecond, latencyMs, clock: () => this.now, isReachable: (from, to) => !this.cutOff.has(from) && !this.cutOff.has(to),
 	});
 
@@ -118,7 +118,7 @@
 	kill(id: string): void {
 		const entry = this.entries.get(id)!;
 		this.entries.delete(id);
-		this.network.forget(entry.address);
+		this.network.disconnect(entry.address);
 		entry.state.close();
 		entry.path.close();
 	}
--- a/src/entry/group-planners.ts
+++ b/src/entry/group-planners.ts
@@ -39,7 +39,7 @@
 	}
 
 	async takeLoads(message: MessageOf<'map-loads'>, now: number): Promise<void> {
-		await this.planners.get(message.group)?.takeLoads(message, now);
+		await this.planners.get(message.group)?.handleLoads(message, now);
 	}
 
 	/** Why the map of a group was last changed or left; undefined when another entry plans for it. */
--- a/src/expert-balance/decide-orders.ts
+++ b/src/expert-balance/decide-orders.ts
@@ -24,7 +24,7 @@
 	readonly orders: ReadonlyArray<{readonly rank: number; readonly order: RankOrder}>;
 };
 
-const isEvery = <Value>(values: readonly Value[], wanted: Value): boolean => values.every(value => value === wanted);
+const areAllEqual = <Value>(values: readonly Value[], wanted: Value): boolean => values.every(value => value === wanted);
 
 /**
  * Decides the next orders of a map switch from nothing but the ranks' reports, so that any planner can go on where
@@ -36,11 +36,11 @@
 	const held = reports.filter(({heldStep}) => heldStep !== undefined);
 	const armed = reports.find(report => report.armed !== undefined)?.armed;
 	if (armed) {
-		return armRest(reports, armed, held);
+		return finishArming(reports, armed, held);
 	}
 
 	if (held.length > 0) {
-		return goOn(reports, held);
+		return resumeHeldSwitch(reports, held);
 	}
 
 	if (!proposal || reports.some(({mapVersion}) => mapVersion === proposal.version)) {
@@ -66,7 +66,7 @@
 }
 
 /* Some rank is armed: so were or will be all. */
-function armRest(reports: readonly RankReport[], armed: {readonly version: number; readonly step: number}, held: readonly RankReport[]): Decision {
+function finishArming(reports: readonly RankReport[], armed: {readonly version: number; readonly step: number}, held: readonly RankReport[]): Decision {
 	const unarmed = reports.filter(report => report.armed?.version !== armed.version || report.armed.step !== armed.step);
 	if (unarmed.length > 0) {
 		// Ranks that use the map already have switched; the others follow as the step begins.
@@ -74,19 +74,19 @@
 		return {phase: 'arm', orders: behind.map(({rank, epoch}) => ({rank, order: {type: 'arm', epoch, ...armed}}))};
 	}
 
-	return release(held, 'release');
+	return makeReleases(held, 'release');
 }
 
 /*
  * The group is held and no rank is armed as far as reported. If every rank has one map ready, an order to arm may be
  * under way and take effect at any time: all are armed. Otherwise none was ever given, and the hold is let go.
  */
-function goOn(reports: readonly RankReport[], held: readonly RankReport[]): Decision {
+function resumeHeldSwitch(reports: readonly RankReport[], held: readonly RankReport[]): Decision {
 	const [{preparedVersion, mapVersion}] = reports;
 	const isReady = preparedVersion !== undefined && preparedVersion > mapVersion
-		&& isEvery(reports.map(report => report.preparedVersion), preparedVersion);
+		&& areAllEqual(reports.map(report => report.preparedVersion), preparedVersion);
 	if (!isReady) {
-		return release(held, 'finish');
+		return makeReleases(held, 'finish');
 	}
 
 	const step = Math.min(...held.map(({heldStep}) => heldStep!));
@@ -101,7 +101,7 @@
 	};
 }
 
-function release(held: readonly RankReport[], phase: 'release' | 'finish'): Decision {
+function makeReleases(held: readonly RankReport[], phase: 'release' | 'finish'): Decision {
 	return {
 		phase,
 		orders: held.map(({rank, epoch, heldStep}) => ({rank, order: {type: 'release', epoch, step: heldStep!}})),
--- a/src/expert-balance/get-count-interval.ts
+++ b/src/expert-balance/get-count-interval.ts
@@ -1,9 +1,9 @@
 import {type ExpertCounts} from './expert-counts.js';
 
 /** Least time between two readings of a rank's counts, milliseconds: demand shifts every few seconds. */
-const leastMs = 200;
+const minimumIntervalMs = 200;
 /** Bytes of one count in a frame, as counts of some thousands are written. */
-const countBytes = 3;
+const bytesPerCount = 3;
 /** What the counts of all ranks may take of the planner's link, bytes a second: a third of 5.6 Mbit/s, the users' least. */
 const linkBytesPerSecond = 230_000;
 const secondMs = 1000;
@@ -16,5 +16,5 @@
  */
 export function getCountInterval(ranks: number, {chosen}: Pick<ExpertCounts, 'chosen'>): number {
 	const numbers = chosen.length * (chosen.at(0)?.length ?? 0);
-	return Math.max(leastMs, Math.ceil(secondMs * ranks * numbers * countBytes / linkBytesPerSecond));
+	return Math.max(minimumIntervalMs, Math.ceil(secondMs * ranks * numbers * bytesPerCount / linkBytesPerSecond));
 }
--- a/src/expert-balance/get-office-key.ts
+++ b/src/expert-balance/get-planner-key.ts
@@ -5,6 +5,6 @@
  * orders grows with the ranks that it plans for, and a VM's link carries that of one group. Three groups of 24 ranks
  * filled a link of 5.6 Mbit/s, and reports came up to 540 ms late (`features/planner-load.feature`).
  */
-export function getOfficeKey(service: string, group: string): string {
+export function getPlannerKey(service: string, group: string): string {
 	return `${prefix}${service}/${group}`;
 }
--- a/src/expert-balance/group-controller.ts
+++ b/src/expert-balance/group-controller.ts
@@ -4,13 +4,13 @@
 import {type ExpertMap} from '../maps/expert-map.js';
 import {type BalanceSettings} from './balance-settings.js';
 import {decideOrders} from './decide-orders.js';
-import {LoadMeter} from './load-meter.js';
+import {LoadEstimator} from './load-estimator.js';
 import {planGroupMap} from './plan-group-map.js';
 import {type RankEngine} from './rank-engine.js';
 import {type RankOrder} from './rank-order.js';
 import {type RankReport} from './rank-report.js';
-import {RankRoster} from './rank-roster.js';
-import {SwitchPace} from './switch-pace.js';
+import {RankTracker} from './rank-tracker.js';
+import {SwitchTiming} from './switch-timing.js';
 
 type ControllerOptions = {
 	readonly group: string;
@@ -24,7 +24,7 @@
 	/** Sends a message to the process beside a rank; false when it is not in reach. */
 	readonly send: (rank: number, message: LinkMessage) => boolean;
 	/** Has an order given to an engine by a VM that runs no rank; false when none is in reach. */
-	readonly giveAside: (engineAddress: string, order: RankOrder) => boolean;
+	readonly orderViaEntry: (engineAddress: string, order: RankOrder) => boolean;
 	/** Reaches a rank's engine itself, when the process beside it is lost. */
 	readonly openEngine: (address: string) => RankEngine;
 	/** Addresses of all engines that are registered for the service; none while they are not known. */
@@ -38,29 +38,29 @@
 	readonly version: number;
 	readonly epoch: number;
 	readonly map: ExpertMap;
-	readonly since: number;
+	readonly proposedAt: number;
 	/** Copies that the rank with the most must load. */
-	readonly mostCopies: number;
+	readonly maximumCopies: number;
 };
 
 /**
  * The group is held only if every rank was heard within this time, milliseconds: a rank that is lost between the hold
  * and its arming holds all of them up. Ranks report every 40 ms then.
  */
-const promptMs = 130;
+const maximumReportAgeMs = 130;
 /** An order that nothing was heard of is given again after this time, milliseconds. */
-const repeatMs = 120;
+const orderRetryMs = 120;
 /** The same for an order to prepare: copying takes a while, and the rank says by itself when it is done. */
-const prepareRepeatMs = 480;
+const prepareRetryMs = 480;
 /** A map that is not prepared everywhere after this time is dropped, milliseconds; copying takes a few hundred. */
-const prepareMs = 3000;
+const prepareTimeoutMs = 3000;
 /**
  * Time between two signs of life while a map is prepared, milliseconds: those of before queued behind the orders to prepare,
  * and the lead of the switch would be reckoned from how long they took.
  */
-const prepareSignMs = 150;
+const prepareHeartbeatMs = 150;
 /** A hold that is not seen after this time is asked of another rank, milliseconds. */
-const holdMs = 300;
+const holdTimeoutMs = 300;
 /** Versions of one term: a planner does not change a map more often. */
 const versionsPerTerm = 100_000;
 
@@ -69,93 +69,93 @@
  * so that the next planner goes on from the same.
  */
 export class GroupController {
-	private readonly roster: RankRoster;
-	private readonly pace = new SwitchPace();
-	private readonly sent = new Map<number, {readonly key: string; readonly at: number}>();
+	private readonly tracker: RankTracker;
+	private readonly timing = new SwitchTiming();
+	private readonly lastOrders = new Map<number, {readonly key: string; readonly at: number}>();
 	/** Outlives an epoch: callers ask for the same after an outage, and the map that a group is formed with fits nobody. */
-	private readonly meter = new LoadMeter();
+	private readonly loadEstimator = new LoadEstimator();
 	private proposal: Proposal | undefined;
-	private changes = 0;
-	private numbers = 0;
+	private proposalCount = 0;
+	private lastOrderNumber = 0;
 	private nextPlanAt = 0;
 	private phase: Phase = 'rest';
 	private phaseSince = 0;
 	/** Whether this planner has armed a rank since it last asked for a hold, and when it did that, milliseconds. */
 	private hasArmed = false;
-	private heldAt = Number.NEGATIVE_INFINITY;
-	private signedAt = Number.NEGATIVE_INFINITY;
+	private holdOrderedAt = Number.NEGATIVE_INFINITY;
+	private heartbeatSentAt = Number.NEGATIVE_INFINITY;
 	/** Whether a later term has begun, so that this planner may do nothing more. */
-	private isOver = false;
+	private isSuperseded = false;
 
 	constructor(private readonly options: ControllerOptions) {
-		this.roster = new RankRoster({
+		this.tracker = new RankTracker({
 			...options,
 			onPasses: (steps, ms) => {
-				this.pace.notePasses(steps, ms);
+				this.timing.recordPasses(steps, ms);
 			},
 		});
 	}
 
 	/** Takes a rank's report. */
-	hear(message: MessageOf<'rank-status'>, now: number): void {
+	handleReport(message: MessageOf<'rank-status'>, now: number): void {
 		const {report, counts, term} = message;
-		this.isOver ||= term > this.options.term;
+		this.isSuperseded ||= term > this.options.term;
 		if (term < this.options.term) {
 			this.options.send(report.rank, {type: 'rank-term', term: this.options.term, sentAt: now});
 		}
 
-		if (this.roster.hear(message, now)) {
+		if (this.tracker.recordReport(message, now)) {
 			this.proposal = undefined;
-			this.sent.clear();
+			this.lastOrders.clear();
 		}
 
-		if (counts?.epoch === this.roster.epoch) {
-			this.meter.take(report.rank, counts, now);
+		if (counts?.epoch === this.tracker.epoch) {
+			this.loadEstimator.record(report.rank, counts, now);
 		}
 	}
 
 	/** Hears what became of an order: what was not taken is decided on anew at once. */
-	hearOutcome({rank, outcome}: MessageOf<'rank-outcome'>): void {
-		this.pace.noteOrder(outcome !== 'unknown');
+	handleOutcome({rank, outcome}: MessageOf<'rank-outcome'>): void {
+		this.timing.recordOrder(outcome !== 'unknown');
 		if (outcome === 'taken') {
 			return;
 		}
 
-		this.sent.delete(rank);
+		this.lastOrders.delete(rank);
 		if (outcome === 'refused' && this.phase === 'prepare') {
-			this.drop(`rank ${rank} refused it`);
+			this.dropProposal(`rank ${rank} refused it`);
 		}
 	}
 
 	/** The group's engines while all of its ranks are heard; undefined otherwise. */
 	getListing(now: number): GroupListing | undefined {
-		return this.roster.getListing(now);
+		return this.tracker.getListing(now);
 	}
 
 	/** Gives the next orders, and plans when the group rests. */
 	async tick(now: number): Promise<void> {
-		if (this.isOver) {
+		if (this.isSuperseded) {
 			return;
 		}
 
-		const reports = this.roster.getReports(now);
+		const reports = this.tracker.getReports(now);
 		if (!reports) {
-			await this.roster.readLost(now);
+			await this.tracker.readLostRanks(now);
 			return;
 		}
 
 		const decision = this.decide(reports, now);
-		this.notePhase(decision.phase, now);
+		this.updatePhase(decision.phase, now);
 		for (const {rank, order} of decision.orders) {
-			this.give(rank, order, now);
+			this.sendOrder(rank, order, now);
 		}
 
-		if (decision.phase === 'prepare' && now - this.signedAt >= prepareSignMs) {
-			this.callAll(now);
+		if (decision.phase === 'prepare' && now - this.heartbeatSentAt >= prepareHeartbeatMs) {
+			this.requestReports(now);
 		}
 
-		if (decision.phase === 'prepare' && this.proposal && now - this.proposal.since > prepareMs) {
-			this.drop('it was not prepared in time');
+		if (decision.phase === 'prepare' && this.proposal && now - this.proposal.proposedAt > prepareTimeoutMs) {
+			this.dropProposal('it was not prepared in time');
 		}
 
 		if (decision.phase === 'rest' && now >= this.nextPlanAt) {
@@ -167,13 +167,13 @@
 	/* The next orders, or none while a rank that may be lost must be heard first. */
 	private decide(reports: readonly RankReport[], now: number): ReturnType<typeof decideOrders> {
 		const decision = decideOrders({
-			reports, proposal: this.proposal, holder: this.chooseHolder(reports.length, now), leadSteps: this.pace.countLeadSteps(this.roster.getLongestWay()),
+			reports, proposal: this.proposal, holder: this.chooseHolder(reports.length, now), leadSteps: this.timing.getLeadSteps(this.tracker.getMaximumRoundTripMs()),
 		});
-		const isPrompt = this.roster.areHeardSince(now - promptMs);
+		const areReportsRecent = this.tracker.haveReportedSince(now - maximumReportAgeMs);
 		// A rank that was lost with the hold keeps all held once another is armed: each is heard once more before that.
 		const isFirstArming = decision.phase === 'arm' && !this.hasArmed && this.proposal !== undefined;
-		const isHeard = !isFirstArming || this.roster.areReadSince(this.heldAt);
-		const mustWait = (decision.phase === 'hold' && !isPrompt) || !isHeard;
+		const haveAllReported = !isFirstArming || this.tracker.haveReadSince(this.holdOrderedAt);
+		const mustWait = (decision.phase === 'hold' && !areReportsRecent) || !haveAllReported;
 		return mustWait ? {phase: decision.phase, orders: []} : decision;
 	}
 
@@ -182,14 +182,14 @@
 	 * sees it. And another one if a hold does not take effect.
 	 */
 	private chooseHolder(size: number, now: number): number {
-		const tries = this.phase === 'hold' ? Math.floor((now - this.phaseSince) / holdMs) : 0;
+		const tries = this.phase === 'hold' ? Math.floor((now - this.phaseSince) / holdTimeoutMs) : 0;
 		return (this.options.ownRank() + 1 + tries) % size;
 	}
 
 	private plan(reports: readonly RankReport[], now: number): void {
 		const shape = this.options.getShape();
-		const map = this.roster.getMap(reports);
-		const loads = this.meter.get(now);
+		const map = this.tracker.getMap(reports);
+		const loads = this.loadEstimator.getLoads(now);
 		if (!shape || loads.length !== map?.length) {
 			return;
 		}
@@ -202,69 +202,69 @@
 			maximumNew: shape.maximumNew,
 			leastRelief,
 			paces: reports.map(({pace}) => pace),
-			copyMs: this.pace.getCopyMs(),
-			switchMs: this.pace.getSwitchMs(),
+			copyMs: this.timing.getCopyMs(),
+			switchMs: this.timing.getSwitchMs(),
 			horizonMs,
 		});
 		if (plan.skewBefore - plan.skewAfter < leastGain) {
 			return;
 		}
 
-		this.changes++;
+		this.proposalCount++;
 		this.proposal = {
-			version: (this.options.term * versionsPerTerm) + this.changes, epoch: this.roster.epoch, map: plan.map, since: now, mostCopies: plan.mostCopies,
+			version: (this.options.term * versionsPerTerm) + this.proposalCount, epoch: this.tracker.epoch, map: plan.map, proposedAt: now, maximumCopies: plan.maximumCopies,
 		};
-		const promise = `${plan.copies} copies, at most ${plan.mostCopies} a rank, skew ${plan.skewBefore.toFixed(2)} to ${plan.skewAfter.toFixed(2)}`;
-		this.options.log(`group ${this.options.group} epoch ${this.roster.epoch}: map ${this.proposal.version} proposed, ${promise}`);
+		const promise = `${plan.copies} copies, at most ${plan.maximumCopies} a rank, skew ${plan.skewBefore.toFixed(2)} to ${plan.skewAfter.toFixed(2)}`;
+		this.options.log(`group ${this.options.group} epoch ${this.tracker.epoch}: map ${this.proposal.version} proposed, ${promise}`);
 	}
 
-	private give(rank: number, order: RankOrder, now: number): void {
+	private sendOrder(rank: number, order: RankOrder, now: number): void {
 		// The step of a hold follows the newest report: each would be another order, refused because of the first.
 		const key = order.type === 'prepare' ? `prepare ${order.version}` : (order.type === 'hold' ? 'hold' : JSON.stringify(order));
-		const last = this.sent.get(rank);
-		const waitMs = order.type === 'prepare' ? prepareRepeatMs : repeatMs;
+		const last = this.lastOrders.get(rank);
+		const waitMs = order.type === 'prepare' ? prepareRetryMs : orderRetryMs;
 		if (last?.key === key && now - last.at < waitMs) {
 			return;
 		}
 
-		this.sent.set(rank, {key, at: now});
-		this.numbers++;
-		this.noteOrder(order, now);
-		const engineAddress = this.roster.getEngineAddress(rank);
+		this.lastOrders.set(rank, {key, at: now});
+		this.lastOrderNumber++;
+		this.recordOrder(order, now);
+		const engineAddress = this.tracker.getEngineAddress(rank);
 		// Whoever orders the hold may be lost right after it; were that a rank's VM, the group would wait for it.
-		if (order.type === 'hold' && engineAddress !== undefined && this.options.giveAside(engineAddress, order)) {
+		if (order.type === 'hold' && engineAddress !== undefined && this.options.orderViaEntry(engineAddress, order)) {
 			return;
 		}
 
 		const isSent = this.options.send(rank, {
-			type: 'rank-order', group: this.options.group, term: this.options.term, number: this.numbers, order,
+			type: 'rank-order', group: this.options.group, term: this.options.term, number: this.lastOrderNumber, order,
 		});
-		const isOutOfReach = !isSent || this.roster.isLost(rank, now);
+		const isOutOfReach = !isSent || this.tracker.isLost(rank, now);
 		if (isOutOfReach && order.type !== 'prepare' && order.type !== 'hold') {
-			void this.giveDirectly(rank, order);
+			void this.sendOrderDirectly(rank, order);
 		}
 	}
 
-	private noteOrder(order: RankOrder, now: number): void {
+	private recordOrder(order: RankOrder, now: number): void {
 		if (order.type === 'hold') {
 			this.hasArmed = false;
-			this.heldAt = now;
-			this.callAll(now);
+			this.holdOrderedAt = now;
+			this.requestReports(now);
 		}
 
 		this.hasArmed ||= order.type === 'arm';
 	}
 
 	/* Every rank reports at once, so that the wait for their word is short. */
-	private callAll(now: number): void {
-		this.signedAt = now;
-		for (const rank of this.roster.listRanks()) {
+	private requestReports(now: number): void {
+		this.heartbeatSentAt = now;
+		for (const rank of this.tracker.listRanks()) {
 			this.options.send(rank, {type: 'rank-term', term: this.options.term, sentAt: now});
 		}
 	}
 
-	private async giveDirectly(rank: number, order: RankOrder): Promise<void> {
-		const address = this.roster.getEngineAddress(rank);
+	private async sendOrderDirectly(rank: number, order: RankOrder): Promise<void> {
+		const address = this.tracker.getEngineAddress(rank);
 		if (address === undefined) {
 			return;
 		}
@@ -273,30 +273,30 @@
 		this.options.log(`group ${this.options.group}: order ${order.type} given to rank ${rank} itself: ${outcome}`);
 	}
 
-	private drop(reason: string): void {
+	private dropProposal(reason: string): void {
 		if (this.proposal) {
 			this.options.log(`group ${this.options.group}: map ${this.proposal.version} dropped: ${reason}`);
 			this.proposal = undefined;
 		}
 	}
 
-	private noteLoaded(phase: Phase, now: number): void {
+	private recordCopyTime(phase: Phase, now: number): void {
 		if (this.phase === 'prepare' && phase === 'hold' && this.proposal) {
-			this.pace.noteCopies(this.proposal.mostCopies, now - this.phaseSince);
+			this.timing.recordCopies(this.proposal.maximumCopies, now - this.phaseSince);
 		}
 	}
 
-	private notePhase(phase: Phase, now: number): void {
+	private updatePhase(phase: Phase, now: number): void {
 		if (phase === this.phase) {
 			return;
 		}
 
 		if (phase === 'rest' && this.proposal) {
-			this.options.log(`group ${this.options.group}: map ${this.proposal.version} in force after ${Math.round(now - this.proposal.since)} ms`);
+			this.options.log(`group ${this.options.group}: map ${this.proposal.version} in force after ${Math.round(now - this.proposal.proposedAt)} ms`);
 			this.proposal = undefined;
 		} else if (phase !== 'rest') {
-			this.noteLoaded(phase, now);
-			const lateMs = Math.round(this.roster.getLongestWay());
+			this.recordCopyTime(phase, now);
+			const lateMs = Math.round(this.tracker.getMaximumRoundTripMs());
 			this.options.log(`group ${this.options.group}: ${this.phase} to ${phase} after ${Math.round(now - this.phaseSince)} ms, reports up to ${lateMs} ms late`);
 		}
 
--- a/src/expert-balance/order-proxy.ts
+++ b/src/expert-balance/order-proxy.ts
@@ -15,9 +15,9 @@
 /** Longest pause between two tries to reach the entry, milliseconds. */
 const maximumDelayMs = 500;
 /** An entry that has not answered an order within this time is left, milliseconds; it answers within 100. */
-const answerMs = 200;
+const answerTimeoutMs = 200;
 /** Time after which another entry is chosen if the one chosen cannot be reached, milliseconds. */
-const chooseMs = 1000;
+const chooseIntervalMs = 1000;
 
 /**
  * Gives orders to engines through an entry, whose VM runs no rank. A VM that is lost right after it has ordered the
@@ -30,13 +30,13 @@
 	private unansweredSince: number | undefined;
 	private isChoosing = false;
 	private chooseAt = 0;
-	private numbers = 0;
+	private lastNumber = 0;
 
 	constructor(private readonly options: ProxyOptions) {}
 
 	/** Keeps a link to one of the entries; leaves one that does not answer. */
 	async tick(now: number): Promise<void> {
-		if (this.unansweredSince !== undefined && now - this.unansweredSince > answerMs) {
+		if (this.unansweredSince !== undefined && now - this.unansweredSince > answerTimeoutMs) {
 			this.options.log(`entry ${this.address} that gives orders does not answer`);
 			this.close();
 			this.chooseAt = now;
@@ -48,7 +48,7 @@
 		}
 
 		this.isChoosing = true;
-		this.chooseAt = now + chooseMs;
+		this.chooseAt = now + chooseIntervalMs;
 		const entries = await this.options.listEntries();
 		const others = entries.filter(address => address !== this.address);
 		this.close();
@@ -61,10 +61,10 @@
 	}
 
 	/** Has an order given to an engine; false when no entry is in reach. */
-	give(engineAddress: string, order: RankOrder, now: number): boolean {
-		this.numbers++;
+	sendOrder(engineAddress: string, order: RankOrder, now: number): boolean {
+		this.lastNumber++;
 		const isSent = this.link?.current?.send({
-			type: 'engine-order', number: this.numbers, engineAddress, order,
+			type: 'engine-order', number: this.lastNumber, engineAddress, order,
 		}) ?? false;
 		if (isSent) {
 			this.unansweredSince ??= now;
--- a/src/expert-balance/plan-group-map.ts
+++ b/src/expert-balance/plan-group-map.ts
@@ -25,7 +25,7 @@
 	readonly map: ExpertMap;
 	/** Copies that ranks must load: all of them, and the rank with the most. */
 	readonly copies: number;
-	readonly mostCopies: number;
+	readonly maximumCopies: number;
 	/** Time of the most loaded rank by the mean over ranks, over all layers, before and after. */
 	readonly skewBefore: number;
 	readonly skewAfter: number;
@@ -40,13 +40,13 @@
 };
 
 /** Copies that each rank loads by the plan, over all layers, and how many it may. */
-type Quota = {readonly used: number[]; limit: number};
+type CopyQuota = {readonly used: number[]; limit: number};
 
 /* Free slots hold an expert that nobody chooses, whose number follows the others'. */
 const isNew = ({present, added, empty}: Omit<Layer, 'search' | 'peakBefore'>, rank: number, expert: number): boolean =>
 	expert !== empty && !present[rank].has(expert) && !added[rank].has(expert);
 
-const startLayer = (options: PlanOptions, index: number, quota: Quota): Layer => {
+const createLayer = (options: PlanOptions, index: number, quota: CopyQuota): Layer => {
 	const {slots, maximumNew, paces} = options;
 	const loads = options.loads[index];
 	const empty = loads.length;
@@ -70,10 +70,10 @@
 	return total;
 };
 
-const describe = (layers: readonly Layer[], {used}: Quota, mean: number): GroupPlan => ({
+const makePlan = (layers: readonly Layer[], {used}: CopyQuota, mean: number): GroupPlan => ({
 	map: layers.map(({search, empty}) => search.toMap().map(experts => experts.filter(expert => expert !== empty))),
 	copies: sum(used),
-	mostCopies: Math.max(...used),
+	maximumCopies: Math.max(...used),
 	skewBefore: mean === 0 ? 1 : sum(layers.map(({peakBefore}) => peakBefore)) / mean,
 	skewAfter: mean === 0 ? 1 : sum(layers.map(({search}) => search.peak)) / mean,
 });
@@ -87,20 +87,20 @@
  */
 export function planGroupMap(options: PlanOptions): GroupPlan {
 	const {paces, maximumNew, leastRelief, copyMs, switchMs, horizonMs} = options;
-	const quota: Quota = {used: paces.map(() => 0), limit: 0};
-	const layers = options.map.map((_ranks, index) => startLayer(options, index, quota));
+	const quota: CopyQuota = {used: paces.map(() => 0), limit: 0};
+	const layers = options.map.map((_ranks, index) => createLayer(options, index, quota));
 	const mean = sum(layers.map(({search}) => search.meanLoad));
-	let best = describe(layers, quota, mean);
-	let mostSaved = 0;
+	let best = makePlan(layers, quota, mean);
+	let bestSaving = 0;
 	for (quota.limit = 0; quota.limit <= maximumNew * layers.length; quota.limit++) {
 		for (const layer of layers) {
 			improve(layer, quota, leastRelief * layer.search.meanLoad);
 		}
 
-		const plan = describe(layers, quota, mean);
-		const saved = (plan.skewBefore - plan.skewAfter) * Math.max(0, horizonMs - switchMs - (quota.limit * copyMs));
-		if (saved > mostSaved) {
-			mostSaved = saved;
+		const plan = makePlan(layers, quota, mean);
+		const saving = (plan.skewBefore - plan.skewAfter) * Math.max(0, horizonMs - switchMs - (quota.limit * copyMs));
+		if (saving > bestSaving) {
+			bestSaving = saving;
 			best = plan;
 		}
 
@@ -113,7 +113,7 @@
 }
 
 /* Every change passes over the search's own stop at rounding errors, so a bound on their number is not needed. */
-function improve(layer: Layer, quota: Quota, leastRelief: number): void {
+function improve(layer: Layer, quota: CopyQuota, leastRelief: number): void {
 	for (let change = layer.search.findBest(); change && change.gain >= leastRelief * change.placements.length; change = layer.search.findBest()) {
 		const fresh = change.placements.filter(({rank, expert}) => isNew(layer, rank, expert));
 		layer.search.apply(change);
--- a/src/expert-balance/planner-election.ts
+++ b/src/expert-balance/planner-election.ts
@@ -12,7 +12,7 @@
 };
 
 /** The key of the office as this process knows it. */
-type Standing = {
+type ElectionState = {
 	/** Era of the store that the process's view is of. */
 	readonly era: number;
 	/** Who is taken to hold the office. */
@@ -21,33 +21,33 @@
 	readonly stored: StoredItem | undefined;
 };
 
-type Office = {readonly term: number; readonly era: number; readonly lease: string; renewAt: number; retakeAt: number};
+type HeldTerm = {readonly term: number; readonly era: number; readonly lease: string; renewAt: number; reacquireAt: number};
 
 /** Life of the office without renewal, and time between renewals, milliseconds: a dead planner is replaced within it. */
-const lifeMs = 2500;
-const renewMs = 800;
+const leaseMs = 2500;
+const renewIntervalMs = 800;
 /**
  * Longest pause before an empty office is sought, milliseconds, so that most hear of the first who took it before they
  * seek it themselves; the first of 16 does so after a twentieth of that.
  */
-const spreadMs = 800;
+const maximumCampaignDelayMs = 800;
 /** Pause after a try that failed, milliseconds. */
-const retryMs = 1000;
+const retryDelayMs = 1000;
 
 /**
  * Seeks and keeps the office of a group's planner, a key under a lease. It only avoids double work: the number of a
  * term, made of the era and revision of the key, is what fences a planner that does not know yet that its term is over.
  */
 export class PlannerElection {
-	private office: Office | undefined;
-	private seekAt: number | undefined;
+	private heldTerm: HeldTerm | undefined;
+	private campaignAt: number | undefined;
 	private isBusy = false;
 
 	constructor(private readonly options: ElectionOptions) {}
 
 	/** This process's term of office; undefined while it has none. */
 	get term(): number | undefined {
-		return this.office?.term;
+		return this.heldTerm?.term;
 	}
 
 	/**
@@ -56,79 +56,79 @@
 	 * @param known - undefined while nothing is known of the office, which is not sought then
 	 * @param isStuck - whether a group is held and the planner in office does not let it go on
 	 */
-	async tick(now: number, known: Standing | undefined, isStuck: boolean): Promise<void> {
-		if (this.isBusy || (known === undefined && this.office === undefined)) {
+	async tick(now: number, known: ElectionState | undefined, isStuck: boolean): Promise<void> {
+		if (this.isBusy || (known === undefined && this.heldTerm === undefined)) {
 			return;
 		}
 
 		this.isBusy = true;
-		await (this.office ? this.keep(this.office, now, known) : this.seek(now, known!, isStuck));
+		await (this.heldTerm ? this.maintain(this.heldTerm, now, known) : this.campaign(now, known!, isStuck));
 		this.isBusy = false;
 	}
 
-	private async keep(office: Office, now: number, known: Standing | undefined): Promise<void> {
+	private async maintain(heldTerm: HeldTerm, now: number, known: ElectionState | undefined): Promise<void> {
 		// A store that has come back from a copy has lost the key, its lease or both, or given them to another.
-		if (known && known.era > office.era) {
-			await this.takeAgain(office, now, known);
+		if (known && known.era > heldTerm.era) {
+			await this.reacquire(heldTerm, now, known);
 			return;
 		}
 
 		const holderTerm = known?.holder && toTerm({era: known.holder.era, number: known.holder.revision});
-		if (holderTerm !== undefined && holderTerm > office.term) {
-			this.leave(`term ${holderTerm} has begun`);
+		if (holderTerm !== undefined && holderTerm > heldTerm.term) {
+			this.stepDown(`term ${holderTerm} has begun`);
 			return;
 		}
 
-		if (now < office.renewAt) {
+		if (now < heldTerm.renewAt) {
 			return;
 		}
 
-		office.renewAt = now + renewMs;
-		const kept = await this.options.registry.keepLease(office.lease);
+		heldTerm.renewAt = now + renewIntervalMs;
+		const kept = await this.options.registry.keepLease(heldTerm.lease);
 		// While the store does not answer the office is kept: safety does not rest on it.
 		if (kept.isOk() && !kept.value) {
-			this.leave('its lease lapsed');
+			this.stepDown('its lease lapsed');
 		}
 	}
 
-	private async takeAgain(office: Office, now: number, known: Standing): Promise<void> {
-		if (now < office.retakeAt) {
+	private async reacquire(heldTerm: HeldTerm, now: number, known: ElectionState): Promise<void> {
+		if (now < heldTerm.reacquireAt) {
 			return;
 		}
 
-		office.retakeAt = now + retryMs;
-		const outcome = await this.take(now, known);
+		heldTerm.reacquireAt = now + retryDelayMs;
+		const outcome = await this.acquire(now, known);
 		if (outcome === 'refused') {
-			this.leave(`another has taken the office in era ${known.era} of the store`);
+			this.stepDown(`another has taken the office in era ${known.era} of the store`);
 		}
 	}
 
-	private leave(reason: string): void {
-		this.options.log(`planner's term ${this.office!.term} is over: ${reason}`);
-		this.office = undefined;
-		this.seekAt = undefined;
+	private stepDown(reason: string): void {
+		this.options.log(`planner's term ${this.heldTerm!.term} is over: ${reason}`);
+		this.heldTerm = undefined;
+		this.campaignAt = undefined;
 	}
 
-	private async seek(now: number, known: Standing, isStuck: boolean): Promise<void> {
+	private async campaign(now: number, known: ElectionState, isStuck: boolean): Promise<void> {
 		// Who held the office before this process was started here is gone: the office need not lapse first.
 		const isOwn = known.holder?.value === this.options.address;
 		if (known.holder && !isStuck && !isOwn) {
-			this.seekAt = undefined;
+			this.campaignAt = undefined;
 			return;
 		}
 
-		this.seekAt ??= isOwn ? now : now + (this.options.random() * spreadMs);
-		if (now < this.seekAt) {
+		this.campaignAt ??= isOwn ? now : now + (this.options.random() * maximumCampaignDelayMs);
+		if (now < this.campaignAt) {
 			return;
 		}
 
-		this.seekAt = now + retryMs;
-		await this.take(now, known);
+		this.campaignAt = now + retryDelayMs;
+		await this.acquire(now, known);
 	}
 
-	private async take(now: number, {stored}: Standing): Promise<'taken' | 'refused' | 'failed'> {
+	private async acquire(now: number, {stored}: ElectionState): Promise<'taken' | 'refused' | 'failed'> {
 		const {registry, key, address, log} = this.options;
-		const lease = await registry.grantLeaseFor(lifeMs);
+		const lease = await registry.grantLeaseFor(leaseMs);
 		if (lease.isErr()) {
 			return 'failed';
 		}
@@ -142,10 +142,10 @@
 			return 'refused';
 		}
 
-		this.office = {
-			term: toTerm(written.value), era: written.value.era, lease: lease.value, renewAt: now + renewMs, retakeAt: now,
+		this.heldTerm = {
+			term: toTerm(written.value), era: written.value.era, lease: lease.value, renewAt: now + renewIntervalMs, reacquireAt: now,
 		};
-		log(`planner's term ${this.office.term} begins here`);
+		log(`planner's term ${this.heldTerm.term} begins here`);
 		return 'taken';
 	}
 }
--- a/src/expert-balance/planner-link.ts
+++ b/src/expert-balance/planner-link.ts
@@ -11,67 +11,67 @@
 	readonly clock: () => number;
 };
 
-type Open = {readonly address: string; readonly link: PersistentLink; heardAt: number};
+type OpenLink = {readonly address: string; readonly link: PersistentLink; receivedAt: number};
 
 /** Longest pause between two tries to reach the planner, milliseconds. */
 const maximumDelayMs = 500;
 /** A link on which the planner gave no sign of life for so long is opened anew, milliseconds; it gives one a second. */
-const silentMs = 2500;
+const silenceTimeoutMs = 2500;
 
 /** This process's link to the planner in office, which may change or be this process itself. */
 export class PlannerLink {
-	private open: Open | undefined;
+	private openLink: OpenLink | undefined;
 
 	constructor(private readonly options: LinkOptions) {}
 
 	/** Follows whoever is in office; undefined when nobody is. */
 	follow(address: string | undefined, now: number): void {
 		const wanted = address === this.options.ownAddress ? undefined : address;
-		if (this.open && this.open.address !== wanted) {
+		if (this.openLink && this.openLink.address !== wanted) {
 			this.close();
 		}
 
-		if (this.open?.link.current && now - this.open.heardAt > silentMs) {
-			this.open.heardAt = now;
-			this.open.link.cut();
+		if (this.openLink?.link.current && now - this.openLink.receivedAt > silenceTimeoutMs) {
+			this.openLink.receivedAt = now;
+			this.openLink.link.cut();
 		}
 
 		if (wanted !== undefined) {
-			this.open ??= this.connect(wanted, now);
+			this.openLink ??= this.connect(wanted, now);
 		}
 	}
 
 	/** Sends a message to the planner; false when it is not in reach. */
 	send(message: LinkMessage): boolean {
-		return this.open?.link.current?.send(message) ?? false;
+		return this.openLink?.link.current?.send(message) ?? false;
 	}
 
 	close(): void {
-		this.open?.link.close();
-		this.open = undefined;
+		this.openLink?.link.close();
+		this.openLink = undefined;
 	}
 
-	private connect(address: string, now: number): Open {
+	private connect(address: string, now: number): OpenLink {
 		const {connect, onMessage, random, clock} = this.options;
-		const open: Open = {
+		const openLink: OpenLink = {
 			address,
-			heardAt: now,
+			receivedAt: now,
 			link: new PersistentLink({
 				connect: async () => connect(address),
 				random,
 				maximumDelayMs,
 				onLost() {
-					open.heardAt = clock();
+					openLink.receivedAt = clock();
 				},
 				onOpen(connection) {
-					open.heardAt = clock();
+					openLink.receivedAt = clock();
 					connection.onMessage(message => {
-						open.heardAt = clock();
+						openLink.receivedAt = clock();
 						onMessage(message);
 					});
 				},
 			}),
 		};
-		return open;
+		return openLink;
 	}
 }
--- a/src/expert-balance/planner-desk.ts
+++ b/src/expert-balance/planner-server.ts
@@ -7,16 +7,16 @@
 import {type RankEngine} from './rank-engine.js';
 import {type RankOrder} from './rank-order.js';
 
-type DeskOptions = {
+type ServerOptions = {
 	readonly settings: BalanceSettings;
 	readonly clock: () => number;
 	/** Rank beside which this process runs. */
 	readonly ownRank: () => number;
 	/** Hands a message to the member in this process. */
-	readonly deliverOwn: (message: LinkMessage) => void;
+	readonly deliverLocal: (message: LinkMessage) => void;
 	readonly openEngine: (address: string) => RankEngine;
 	/** Has an order given to an engine by a VM that runs no rank; false when none is in reach. */
-	readonly giveAside: (engineAddress: string, order: RankOrder) => boolean;
+	readonly orderViaEntry: (engineAddress: string, order: RankOrder) => boolean;
 	readonly listEngines: () => Promise<readonly string[]>;
 	readonly readService: () => Promise<Service | undefined>;
 	readonly onOutcome: (outcome: string) => void;
@@ -24,33 +24,33 @@
 };
 
 /** Reports that arrive within this time are decided on together, milliseconds. */
-const gatherMs = 10;
+const batchMs = 10;
 /** Time between two signs of life to each rank, milliseconds. */
-const signMs = 1000;
+const heartbeatIntervalMs = 1000;
 /** A planner's term of office for one group. */
-type Term = {readonly term: number; readonly group: string};
+type PlannerTerm = {readonly term: number; readonly group: string};
 
 /** Stands for the member in this process among the links. */
-const own = 'own';
+const localLink = 'own';
 
 /** The work of a group's planner in office: hears the ranks over their links, and lets a controller plan for them. */
-export class PlannerDesk {
-	private office: Term | undefined;
+export class PlannerServer {
+	private planned: PlannerTerm | undefined;
 	private controller: GroupController | undefined;
 	private service: Service | undefined;
 	private readonly connections = new Map<string, LinkConnection>();
 	/** Link of each rank of the group. */
 	private readonly links = new Map<number, string>();
 	private timer: NodeJS.Timeout | undefined;
-	private signAt = 0;
-	private accepted = 0;
+	private nextHeartbeatAt = 0;
+	private acceptedCount = 0;
 
-	constructor(private readonly options: DeskOptions) {}
+	constructor(private readonly options: ServerOptions) {}
 
 	/** Takes a link of a rank's process. */
 	accept(connection: LinkConnection): void {
-		this.accepted++;
-		const name = String(this.accepted);
+		this.acceptedCount++;
+		const name = String(this.acceptedCount);
 		this.connections.set(name, connection);
 		connection.onClose(() => this.connections.delete(name));
 		connection.onMessage(message => {
@@ -59,29 +59,29 @@
 	}
 
 	/** Takes a message of the member in this process. */
-	receiveOwn(message: LinkMessage): void {
-		this.receive(message, own);
+	receiveLocal(message: LinkMessage): void {
+		this.receive(message, localLink);
 	}
 
 	/**
 	 * Works for a term of office, gives signs of life and orders.
 	 *
-	 * @param office - this process's term, and the group it is for; undefined while it is not in office
+	 * @param planned - this process's term, and the group it is for; undefined while it is not in office
 	 */
-	tick(office: Term | undefined, now: number): void {
-		if (office?.term !== this.office?.term) {
-			this.office = office;
+	tick(planned: PlannerTerm | undefined, now: number): void {
+		if (planned?.term !== this.planned?.term) {
+			this.planned = planned;
 			this.links.clear();
-			this.controller = office && this.createController(office);
+			this.controller = planned && this.createController(planned);
 		}
 
-		if (office === undefined) {
+		if (planned === undefined) {
 			return;
 		}
 
-		if (now >= this.signAt) {
-			this.signAt = now + signMs;
-			this.sign(office.term);
+		if (now >= this.nextHeartbeatAt) {
+			this.nextHeartbeatAt = now + heartbeatIntervalMs;
+			this.sendHeartbeats(planned.term);
 		}
 
 		this.control();
@@ -97,44 +97,44 @@
 	}
 
 	private receive(message: LinkMessage, name: string): void {
-		if (!this.office || !this.controller) {
+		if (!this.planned || !this.controller) {
 			return;
 		}
 
-		if (message.type === 'rank-status' && message.report.group === this.office.group) {
+		if (message.type === 'rank-status' && message.report.group === this.planned.group) {
 			this.links.set(message.report.rank, name);
-			this.controller.hear(message, this.options.clock());
-		} else if (message.type === 'rank-outcome' && message.group === this.office.group) {
+			this.controller.handleReport(message, this.options.clock());
+		} else if (message.type === 'rank-outcome' && message.group === this.planned.group) {
 			this.options.onOutcome(message.outcome);
-			this.controller.hearOutcome(message);
+			this.controller.handleOutcome(message);
 		}
 
 		this.timer ??= setTimeout(() => {
 			this.timer = undefined;
 			this.control();
-		}, gatherMs);
+		}, batchMs);
 	}
 
 	private control(): void {
 		void this.controller?.tick(this.options.clock());
 	}
 
-	private sign(term: number): void {
-		this.options.deliverOwn({type: 'rank-term', term, sentAt: this.options.clock()});
+	private sendHeartbeats(term: number): void {
+		this.options.deliverLocal({type: 'rank-term', term, sentAt: this.options.clock()});
 		for (const connection of this.connections.values()) {
 			connection.send({type: 'rank-term', term, sentAt: this.options.clock()});
 		}
 
 		if (!this.service?.experts) {
-			void this.learnService();
+			void this.refreshService();
 		}
 	}
 
-	private async learnService(): Promise<void> {
+	private async refreshService(): Promise<void> {
 		this.service = await this.options.readService() ?? this.service;
 	}
 
-	private createController({term, group}: Term): GroupController {
+	private createController({term, group}: PlannerTerm): GroupController {
 		return new GroupController({
 			...this.options,
 			group,
@@ -146,8 +146,8 @@
 
 	private sendTo(rank: number, message: LinkMessage): boolean {
 		const name = this.links.get(rank);
-		if (name === own) {
-			this.options.deliverOwn(message);
+		if (name === localLink) {
+			this.options.deliverLocal(message);
 			return true;
 		}
 
--- a/src/expert-balance/rank-process.ts
+++ b/src/expert-balance/rank-process.ts
@@ -5,14 +5,14 @@
 import {StoreView} from '../view/store-view.js';
 import {unguarded} from '../view/unguarded.js';
 import {type BalanceSettings} from './balance-settings.js';
-import {getOfficeKey} from './get-office-key.js';
+import {getPlannerKey} from './get-planner-key.js';
 import {GroupPublication} from './group-publication.js';
 import {OrderProxy} from './order-proxy.js';
-import {PlannerDesk} from './planner-desk.js';
+import {PlannerServer} from './planner-server.js';
 import {PlannerElection} from './planner-election.js';
 import {PlannerLink} from './planner-link.js';
 import {type RankEngine} from './rank-engine.js';
-import {RankMember} from './rank-member.js';
+import {RankAgent} from './rank-agent.js';
 import {toTerm} from './to-term.js';
 
 type ProcessOptions = {
@@ -39,52 +39,52 @@
 	readonly log: (message: string) => void;
 };
 
-const entries = 'wardswitch/entries/';
+const entriesPrefix = 'wardswitch/entries/';
 /** Time between two looks at the office and the links, milliseconds. */
 const tickMs = 100;
 /** Least time between two reports of the own rank, milliseconds. */
-const leastWaitMs = 10;
+const minimumDelayMs = 10;
 /** Longest wait of one call for changes of the office, milliseconds: a lost planner shows on its link much sooner. */
 const viewWaitMs = 12_000;
 /** Longest pause before a failed call is tried again, milliseconds: nothing is decided on the office while it is away. */
 const longestPauseMs = 2000;
 /** A group that is held this long at the step it has reached is taken over by another planner, milliseconds. */
-const stuckMs = 400;
+const stuckHoldMs = 400;
 
 /** What this process knows of the office of its rank's group, and its own part in it. */
-type Office = {readonly group: string; readonly key: string; readonly view: StoreView; readonly election: PlannerElection; readonly publication: GroupPublication};
+type GroupElection = {readonly group: string; readonly key: string; readonly view: StoreView; readonly election: PlannerElection; readonly publication: GroupPublication};
 
 /** The tasks of the process beside one rank's engine, whatever their links run over. */
 export class RankProcess {
-	readonly member: RankMember;
+	readonly agent: RankAgent;
 	/** Undefined until the engine has told its group. */
-	private office: Office | undefined;
-	private readonly planner: PlannerLink;
-	private readonly proxy: OrderProxy;
-	private readonly desk: PlannerDesk;
+	private groupElection: GroupElection | undefined;
+	private readonly plannerLink: PlannerLink;
+	private readonly orderProxy: OrderProxy;
+	private readonly plannerServer: PlannerServer;
 	private reportTimer: NodeJS.Timeout | undefined;
 	private timer: NodeJS.Timeout | undefined;
 
 	constructor(private readonly options: ProcessOptions) {
-		this.member = this.createMember();
-		this.planner = this.createPlannerLink();
-		this.proxy = new OrderProxy({...options, listEntries: async () => this.listEntries()});
-		this.desk = this.createDesk();
+		this.agent = this.createAgent();
+		this.plannerLink = this.createPlannerLink();
+		this.orderProxy = new OrderProxy({...options, listEntries: async () => this.listEntries()});
+		this.plannerServer = this.createPlannerServer();
 	}
 
 	/** Whether this process is in office. */
-	get isInOffice(): boolean {
-		return this.office?.election.term !== undefined;
+	get isPlanner(): boolean {
+		return this.groupElection?.election.term !== undefined;
 	}
 
 	/** This process's view of the office; undefined until the engine has told its group. */
 	get view(): StoreView | undefined {
-		return this.office?.view;
+		return this.groupElection?.view;
 	}
 
 	/** Takes a link that another process has opened. */
 	accept(connection: LinkConnection): void {
-		this.desk.accept(connection);
+		this.plannerServer.accept(connection);
 	}
 
 	/** Begins to report, to follow the office and to seek it when it is empty. */
@@ -92,29 +92,29 @@
 		this.timer = setInterval(() => {
 			this.tick();
 		}, tickMs);
-		void this.reportInTime();
+		void this.report();
 	}
 
 	close(): void {
 		clearInterval(this.timer);
 		clearTimeout(this.reportTimer);
-		this.office?.view.close();
-		this.planner.close();
-		this.proxy.close();
-		this.desk.close();
+		this.groupElection?.view.close();
+		this.plannerLink.close();
+		this.orderProxy.close();
+		this.plannerServer.close();
 	}
 
 	/* A rank that the platform has put into another group leaves the office of the one before: its lease lapses. */
-	private followGroup(): void {
-		const group = this.member.report?.group;
-		if (group === undefined || group === this.office?.group) {
+	private updateGroup(): void {
+		const group = this.agent.report?.group;
+		if (group === undefined || group === this.groupElection?.group) {
 			return;
 		}
 
-		this.office?.view.close();
-		const key = getOfficeKey(this.options.service, group);
+		this.groupElection?.view.close();
+		const key = getPlannerKey(this.options.service, group);
 		const view = this.createView(key);
-		this.office = {
+		this.groupElection = {
 			group,
 			key,
 			view,
@@ -133,25 +133,25 @@
 			longestPauseMs,
 			onChange: () => {
 				const known = view.get(key);
-				if (known && this.office?.view === view) {
-					this.member.hearTerm(toTerm({era: known.era, number: known.revision}));
+				if (known && this.groupElection?.view === view) {
+					this.agent.recordTerm(toTerm({era: known.era, number: known.revision}));
 				}
 			},
 		});
 		return view;
 	}
 
-	private createMember(): RankMember {
+	private createAgent(): RankAgent {
 		const {engineAddress, openEngine} = this.options;
-		return new RankMember({
+		return new RankAgent({
 			...this.options,
 			engine: openEngine(engineAddress),
 			send: message => {
-				if (!this.isInOffice) {
-					return this.planner.send(message);
+				if (!this.isPlanner) {
+					return this.plannerLink.send(message);
 				}
 
-				this.desk.receiveOwn(message);
+				this.plannerServer.receiveLocal(message);
 				return true;
 			},
 		});
@@ -161,22 +161,22 @@
 		return new PlannerLink({
 			...this.options,
 			onMessage: message => {
-				this.member.receive(message);
-				this.reportSoon();
+				this.agent.receive(message);
+				this.scheduleReport();
 			},
 		});
 	}
 
-	private createDesk(): PlannerDesk {
+	private createPlannerServer(): PlannerServer {
 		const {service, balance, clock, listEngines, readService} = this.options;
-		return new PlannerDesk({
+		return new PlannerServer({
 			...this.options,
 			settings: balance,
-			giveAside: (engine, order) => this.proxy.give(engine, order, clock()),
-			ownRank: () => this.member.report?.rank ?? 0,
-			deliverOwn: message => {
-				this.member.receive(message);
-				this.reportSoon();
+			orderViaEntry: (engine, order) => this.orderProxy.sendOrder(engine, order, clock()),
+			ownRank: () => this.agent.report?.rank ?? 0,
+			deliverLocal: message => {
+				this.agent.receive(message);
+				this.scheduleReport();
 			},
 			listEngines: async () => listEngines(service),
 			readService: async () => readService(service),
@@ -184,45 +184,45 @@
 	}
 
 	private async listEntries(): Promise<readonly string[]> {
-		const listed = await this.options.feed.list(entries);
+		const listed = await this.options.feed.list(entriesPrefix);
 		return listed.isOk() ? listed.value.items.map(({value}) => value) : [];
 	}
 
-	private async reportInTime(): Promise<void> {
-		await this.member.tick(this.options.clock());
-		this.reportSoon();
+	private async report(): Promise<void> {
+		await this.agent.tick(this.options.clock());
+		this.scheduleReport();
 	}
 
-	private reportSoon(): void {
+	private scheduleReport(): void {
 		clearTimeout(this.reportTimer);
 		this.reportTimer = setTimeout(() => {
-			void this.reportInTime();
-		}, Math.max(leastWaitMs, this.member.getWait(this.options.clock())));
+			void this.report();
+		}, Math.max(minimumDelayMs, this.agent.getDelayMs(this.options.clock())));
 	}
 
 	private tick(): void {
 		const now = this.options.clock();
-		this.followGroup();
-		if (this.office) {
-			this.attendOffice(this.office, now);
+		this.updateGroup();
+		if (this.groupElection) {
+			this.tickElection(this.groupElection, now);
 		}
 
-		if (this.isInOffice) {
-			void this.proxy.tick(now);
+		if (this.isPlanner) {
+			void this.orderProxy.tick(now);
 		} else {
-			this.proxy.close();
+			this.orderProxy.close();
 		}
 	}
 
-	private attendOffice({group, key, view, election, publication}: Office, now: number): void {
-		const {heldSince} = this.member;
-		const isStuck = heldSince !== undefined && now - heldSince > stuckMs;
-		this.planner.follow(view.get(key)?.value, now);
+	private tickElection({group, key, view, election, publication}: GroupElection, now: number): void {
+		const {heldSince} = this.agent;
+		const isStuck = heldSince !== undefined && now - heldSince > stuckHoldMs;
+		this.plannerLink.follow(view.get(key)?.value, now);
 		view.tick(now);
 		void election.tick(now, view.isKnown ? {era: view.asOf.era, holder: view.get(key), stored: view.getStored(key)} : undefined, isStuck);
-		this.desk.tick(election.term === undefined ? undefined : {term: election.term, group}, now);
+		this.plannerServer.tick(election.term === undefined ? undefined : {term: election.term, group}, now);
 		if (election.term !== undefined) {
-			publication.tick(this.desk.getListing(now), view.asOf.era, now);
+			publication.tick(this.plannerServer.getListing(now), view.asOf.era, now);
 		}
 	}
 }
--- a/src/expert-balance/start-rank-process.ts
+++ b/src/expert-balance/start-rank-process.ts
@@ -12,7 +12,7 @@
 import {type RankEngine} from './rank-engine.js';
 import {RankProcess} from './rank-process.js';
 
-type Surroundings = {
+type Dependencies = {
 	readonly feed: ChangeFeed;
 	readonly registry: Registry;
 	readonly openEngine: (address: string) => RankEngine;
@@ -38,13 +38,13 @@
 const linkTimeoutMs = 1000;
 
 /** Starts the process beside one rank's engine: its tasks, and the sockets that they use. */
-export async function startRankProcess(settings: RankSettings, surroundings: Surroundings): Promise<RunningRankProcess> {
+export async function startRankProcess(settings: RankSettings, dependencies: Dependencies): Promise<RunningRankProcess> {
 	const {address, linkPort} = settings;
 	const metrics = new RankMetrics();
 	const engineAddress = `${settings.engine.host}:${settings.engine.port}`;
-	const tasks = new RankProcess({
+	const rankProcess = new RankProcess({
 		...settings,
-		...surroundings,
+		...dependencies,
 		ownAddress: `${address}:${linkPort}`,
 		engineAddress,
 		async connect(peer) {
@@ -59,14 +59,14 @@
 		},
 		log,
 	});
-	makeViewGauges(metrics.registry, () => tasks.view, surroundings.clock);
+	makeViewGauges(metrics.registry, () => rankProcess.view, dependencies.clock);
 	const listener = await listenLink({
 		...settings.link,
 		address,
 		port: linkPort,
 		meter: metrics.meterLink,
 		onConnection(connection) {
-			tasks.accept(connection);
+			rankProcess.accept(connection);
 		},
 		onRejection(reason) {
 			log(`peer turned away: ${reason}`);
@@ -76,21 +76,21 @@
 		address,
 		port: settings.metricsPort,
 		registry: metrics.registry,
-		isReady: () => tasks.member.report !== undefined,
+		isReady: () => rankProcess.agent.report !== undefined,
 		pages: {
 			status: () => ({
-				id: settings.id, report: tasks.member.report, term: tasks.member.term, plans: tasks.isInOffice,
+				id: settings.id, report: rankProcess.agent.report, term: rankProcess.agent.term, plans: rankProcess.isPlanner,
 			}),
 		},
 	});
-	tasks.start();
+	rankProcess.start();
 	log(`started beside ${engineAddress}`);
 	let finish: () => void;
 	const stopped = new Promise<void>(resolve => {
 		finish = resolve;
 	});
 	const close = async (): Promise<void> => {
-		tasks.close();
+		rankProcess.close();
 		admin.close();
 		await listener.close();
 		log('stopped');
--- a/src/expert-balance/switch-pace.ts
+++ b/src/expert-balance/switch-timing.ts
@@ -3,44 +3,44 @@
  * rank armed before the group gets there, or all streams pause. That takes 60 to 150 ms.
  */
 const leadMs = 350;
-const leastLeadSteps = 3;
-const mostLeadSteps = 60;
+const minimumLeadSteps = 3;
+const maximumLeadSteps = 60;
 /** What is added to the lead if every order stays unanswered, milliseconds: each is given again until it is taken. */
 const lossLeadMs = 2000;
 /** Ways there and back until every rank is armed: the hold is ordered and seen, every rank is heard once more, and armed. */
-const waysPerSwitch = 2;
+const roundTripsPerSwitch = 2;
 /** What the lead holds for these ways already, milliseconds: arming takes up to 100 besides. */
-const usualWaysMs = 250;
+const includedRoundTripMs = 250;
 /** Weight of the newest order in the share that stays unanswered. */
 const newestOrderWeight = 0.04;
 /** Time of a pass before any was seen, milliseconds, and the weight of the newest. */
-const usualStepMs = 40;
+const initialStepMs = 40;
 const newestStepWeight = 0.2;
 
 /** Time that a rank takes to load one copy, milliseconds, before any was seen; and the weight of the newest. */
-const usualCopyMs = 400;
+const initialCopyMs = 400;
 const newestCopyWeight = 0.3;
 /** Time of a switch beside the loading of copies and its lead: reports and orders, milliseconds. */
-const orderMs = 100;
+const orderOverheadMs = 100;
 
 /** How long the parts of a switch take, and how far ahead it is set: from the time that passes take and the share of orders that stay unanswered. */
-export class SwitchPace {
-	private stepMs = usualStepMs;
-	private copyMs = usualCopyMs;
+export class SwitchTiming {
+	private stepMs = initialStepMs;
+	private copyMs = initialCopyMs;
 	private unansweredShare = 0;
 
 	/** Notes that `steps` passes began within `ms` milliseconds. */
-	notePasses(steps: number, ms: number): void {
+	recordPasses(steps: number, ms: number): void {
 		this.stepMs += ((ms / steps) - this.stepMs) * newestStepWeight;
 	}
 
 	/** Notes whether an order was answered. */
-	noteOrder(isAnswered: boolean): void {
+	recordOrder(isAnswered: boolean): void {
 		this.unansweredShare += ((isAnswered ? 0 : 1) - this.unansweredShare) * newestOrderWeight;
 	}
 
 	/** Notes that the rank with the most copies to load had loaded them within `ms` milliseconds. */
-	noteCopies(copies: number, ms: number): void {
+	recordCopies(copies: number, ms: number): void {
 		if (copies > 0) {
 			this.copyMs += ((ms / copies) - this.copyMs) * newestCopyWeight;
 		}
@@ -53,17 +53,17 @@
 
 	/** Time of a switch beside the loading of copies, milliseconds. */
 	getSwitchMs(): number {
-		return orderMs + this.getLeadMs();
+		return orderOverheadMs + this.getLeadMs();
 	}
 
 	/**
 	 * Passes between the newest report and the switch.
 	 *
-	 * @param wayMs - longest time that an order and the report after it take to a rank and back, milliseconds
+	 * @param roundTripMs - longest time that an order and the report after it take to a rank and back, milliseconds
 	 */
-	countLeadSteps(wayMs: number): number {
-		const longWayMs = Math.max(0, (waysPerSwitch * wayMs) - usualWaysMs);
-		return Math.min(mostLeadSteps, Math.max(leastLeadSteps, Math.ceil((this.getLeadMs() + longWayMs) / this.stepMs)));
+	getLeadSteps(roundTripMs: number): number {
+		const extraRoundTripMs = Math.max(0, (roundTripsPerSwitch * roundTripMs) - includedRoundTripMs);
+		return Math.min(maximumLeadSteps, Math.max(minimumLeadSteps, Math.ceil((this.getLeadMs() + extraRoundTripMs) / this.stepMs)));
 	}
 
 	private getLeadMs(): number {
--- a/src/map-switch/create-engine-orders.ts
+++ b/src/map-switch/create-engine-client.ts
@@ -1,15 +1,15 @@
 import {request} from 'undici';
 import {z} from 'zod';
 import {EngineMapState} from './engine-map-state.js';
-import {type EngineOrders} from './engine-orders.js';
+import {type EngineClient} from './engine-client.js';
 
 const timeoutMs = 5000;
 const stageTimeoutMs = 120_000;
-const taken = 200;
-const refused = 409;
+const takenStatus = 200;
+const refusedStatus = 409;
 
 /** Gives an engine its orders over HTTP: `GET /maps`, `POST /maps/stage`, `/maps/prepare`, `/maps/decide`. */
-export function createEngineOrders(url: string): EngineOrders {
+export function createEngineClient(url: string): EngineClient {
 	const order = async (name: string, body: unknown, answerMs: number): Promise<boolean> => {
 		const answer = await request(`${url}/maps/${name}`, {
 			method: 'POST',
@@ -18,11 +18,11 @@
 			headersTimeout: answerMs,
 		});
 		await answer.body.dump();
-		if (answer.statusCode !== taken && answer.statusCode !== refused) {
+		if (answer.statusCode !== takenStatus && answer.statusCode !== refusedStatus) {
 			throw new Error(`engine answered ${answer.statusCode} to ${name}`);
 		}
 
-		return answer.statusCode === taken;
+		return answer.statusCode === takenStatus;
 	};
 
 	return {
--- a/src/map-switch/engine-orders.ts
+++ b/src/map-switch/engine-client.ts
@@ -2,7 +2,7 @@
 import {type EngineMapState} from './engine-map-state.js';
 
 /** The orders for expert maps that an engine takes. Each gives whether the engine took it; it rejects when that is not known. */
-export type EngineOrders = {
+export type EngineClient = {
 	read(): Promise<EngineMapState>;
 	/** Loads the weights of the next map beside those in use. */
 	stage(order: MessageOf<'map-stage'>): Promise<boolean>;
--- a/src/map-switch/group-member.ts
+++ b/src/map-switch/group-member.ts
@@ -9,7 +9,7 @@
 import {type KeyValue} from '../key-value/key-value.js';
 import {type VmList} from '../vm-list/vm-list.js';
 import {type Vm} from '../vm-list/vm.js';
-import {createEngineOrders} from './create-engine-orders.js';
+import {createEngineClient} from './create-engine-client.js';
 import {groupKeys} from './group-keys.js';
 import {GroupMap} from './group-map.js';
 import {MapCoordinator} from './map-coordinator.js';
@@ -28,7 +28,7 @@
 type Send = (message: LinkMessage) => boolean;
 
 const tickMs = 100;
-const recordMs = 5000;
+const recordIntervalMs = 5000;
 const expertLoads = z.object({
 	epoch: z.int(),
 	map: z.array(z.array(z.array(z.int()))),
@@ -62,7 +62,7 @@
 				this.receive(message, () => false);
 			},
 		});
-		const engine = createEngineOrders(settings.url);
+		const engine = createEngineClient(settings.url);
 		const shared = {engine, checksFencing: settings.checksFencing, readFence: async () => this.readFence()};
 		this.participant = new MapParticipant({
 			...shared,
@@ -132,7 +132,7 @@
 		await this.participant.tick(now);
 		await this.coordinator?.tick(now);
 		if (this.coordinator && now >= this.nextRecordAt) {
-			this.nextRecordAt = now + recordMs;
+			this.nextRecordAt = now + recordIntervalMs;
 			await this.record();
 		}
 	}
--- a/src/map-switch/group-planner.ts
+++ b/src/map-switch/group-planner.ts
@@ -19,10 +19,10 @@
 	readonly intervalMs: number;
 };
 
-type Term = {readonly lease: string; renewAt: number; expiresAt: number};
+type HeldLease = {readonly lease: string; renewAt: number; expiresAt: number};
 
 const leaseSeconds = 10;
-const renewMs = 3000;
+const renewIntervalMs = 3000;
 
 /**
  * Plans the maps of one group, at the entry that holds the group's lease. The lease only keeps two entries from
@@ -33,15 +33,15 @@
 	lastDecision = 'no loads seen yet';
 
 	private planner: {readonly shape: string; readonly weights: string; readonly planner: MapPlanner} | undefined;
-	private term: Term | undefined;
-	private nextLookAt = 0;
+	private heldLease: HeldLease | undefined;
+	private nextRequestAt = 0;
 	private isBusy = false;
 
 	constructor(private readonly options: PlannerOptions) {}
 
 	/** Whether this entry plans for the group at `now`. */
 	isHolder(now: number): boolean {
-		return this.term !== undefined && now < this.term.expiresAt;
+		return this.heldLease !== undefined && now < this.heldLease.expiresAt;
 	}
 
 	/** Takes or keeps the lease, and asks for loads when it is time. */
@@ -51,16 +51,16 @@
 		}
 
 		this.isBusy = true;
-		await this.keepLease(now);
+		await this.maintainLease(now);
 		this.isBusy = false;
-		if (this.isHolder(now) && now >= this.nextLookAt) {
-			this.nextLookAt = now + this.options.intervalMs;
+		if (this.isHolder(now) && now >= this.nextRequestAt) {
+			this.nextRequestAt = now + this.options.intervalMs;
 			this.options.send({type: 'map-loads-wanted', group: this.options.group});
 		}
 	}
 
 	/** Takes the loads that rank 0 reported, and proposes another map if that pays. */
-	async takeLoads(report: MessageOf<'map-loads'>, now: number): Promise<void> {
+	async handleLoads(report: MessageOf<'map-loads'>, now: number): Promise<void> {
 		if (!this.isHolder(now)) {
 			return;
 		}
@@ -115,23 +115,23 @@
 		return this.planner.planner;
 	}
 
-	private async keepLease(now: number): Promise<void> {
+	private async maintainLease(now: number): Promise<void> {
 		const {keyValue, group, id} = this.options;
-		if (this.term && now < this.term.renewAt) {
+		if (this.heldLease && now < this.heldLease.renewAt) {
 			return;
 		}
 
-		if (this.term && now < this.term.expiresAt) {
-			const kept = await keyValue.keepLease(this.term.lease);
+		if (this.heldLease && now < this.heldLease.expiresAt) {
+			const kept = await keyValue.keepLease(this.heldLease.lease);
 			if (kept.isOk() && kept.value) {
-				this.term.expiresAt = now + (leaseSeconds * 1000);
+				this.heldLease.expiresAt = now + (leaseSeconds * 1000);
 			}
 
-			this.term.renewAt = now + renewMs;
+			this.heldLease.renewAt = now + renewIntervalMs;
 			return;
 		}
 
-		this.term = undefined;
+		this.heldLease = undefined;
 		const lease = await keyValue.grantLease(leaseSeconds);
 		if (lease.isErr()) {
 			return;
@@ -140,7 +140,7 @@
 		const key = groupKeys.planner(group);
 		const taken = await keyValue.commit({conditions: [{key, revision: 0}], puts: [{key, value: id, lease: lease.value}]});
 		if (taken.isOk() && taken.value !== undefined) {
-			this.term = {lease: lease.value, renewAt: now + renewMs, expiresAt: now + (leaseSeconds * 1000)};
+			this.heldLease = {lease: lease.value, renewAt: now + renewIntervalMs, expiresAt: now + (leaseSeconds * 1000)};
 		}
 	}
 }
--- a/src/map-switch/map-coordinator.ts
+++ b/src/map-switch/map-coordinator.ts
@@ -3,12 +3,12 @@
 } from 'robot3';
 import {type LinkMessage} from '../link/link-message.js';
 import {type MessageOf} from '../link/message-of.js';
-import {type EngineOrders} from './engine-orders.js';
+import {type EngineClient} from './engine-client.js';
 
 type CoordinatorOptions = {
 	readonly ranks: number;
 	/** Orders to rank 0's own engine, which keeps the decision while this process is replaced. */
-	readonly engine: EngineOrders;
+	readonly engine: EngineClient;
 	/** Sends a message to a rank's target process; rank 0's is this one. */
 	readonly send: (rank: number, message: LinkMessage) => void;
 	/** Highest fencing number that the platform names for the group; rejects while that is not known. */
@@ -32,10 +32,10 @@
 /** Steps between the last vote on staging and the switch: time for the promise to reach all ranks. */
 const leadSteps = 20;
 /** Longest wait for the weights of all ranks, and for their promises, milliseconds. */
-const stageMs = 120_000;
-const prepareMs = 5000;
+const stageTimeoutMs = 120_000;
+const prepareTimeoutMs = 5000;
 /** Time after which an order that was not answered is sent again, milliseconds. */
-const repeatMs = 500;
+const retryIntervalMs = 500;
 
 /**
  * Leads map switches at rank 0's target process. Its decision is final; rank 0's engine is told first and so keeps
@@ -73,19 +73,19 @@
 
 	/** Repeats orders that were not answered, and abandons a switch that takes too long. */
 	async tick(now: number): Promise<void> {
-		const limitMs = this.state === 'staging' ? stageMs : prepareMs;
+		const limitMs = this.state === 'staging' ? stageTimeoutMs : prepareTimeoutMs;
 		if (!this.proposal || this.state === 'idle') {
 			return;
 		}
 
 		if (now - this.phaseSince > limitMs) {
-			await this.receiveAbandon('not every rank answered in time');
-		} else if (now - this.sentAt > repeatMs) {
+			await this.abandon('not every rank answered in time');
+		} else if (now - this.sentAt > retryIntervalMs) {
 			this.sendOrders(now);
 		}
 	}
 
-	private async receiveAbandon(reason: string): Promise<void> {
+	private async abandon(reason: string): Promise<void> {
 		this.queue = this.queue.then(async () => this.decide('abort', reason)).catch(() => undefined);
 		await this.queue;
 	}
@@ -178,8 +178,8 @@
 
 	private async countVote(vote: MessageOf<'map-vote'>, now: number): Promise<void> {
 		const phase = this.state === 'staging' ? 'stage' : 'prepare';
-		const isOurs = this.state !== 'idle' && vote.fence === this.proposal?.fence && vote.phase === phase;
-		if (!isOurs) {
+		const isCurrent = this.state !== 'idle' && vote.fence === this.proposal?.fence && vote.phase === phase;
+		if (!isCurrent) {
 			return;
 		}
 
@@ -212,7 +212,7 @@
 			type: 'map-decision', fence, epoch, step: this.switchStep, decision,
 		};
 		if (this.state === 'preparing') {
-			await this.tellOwnEngine(order);
+			await this.decideAtOwnEngine(order);
 		}
 
 		this.decided = order;
@@ -230,15 +230,15 @@
 	}
 
 	/* Nobody else is told before rank 0's engine is known to have it; a lost answer is settled by reading back. */
-	private async tellOwnEngine(order: MessageOf<'map-decision'>): Promise<void> {
+	private async decideAtOwnEngine(order: MessageOf<'map-decision'>): Promise<void> {
 		try {
 			await this.options.engine.decide(order);
 		} catch {
 			const {holdStep, switchStep, epoch} = await this.options.engine.read();
-			const isTold = order.decision === 'abort'
+			const isApplied = order.decision === 'abort'
 				? holdStep === undefined && switchStep === undefined
 				: switchStep === order.step || epoch === order.epoch;
-			if (!isTold) {
+			if (!isApplied) {
 				await this.options.engine.decide(order);
 			}
 		}
--- a/src/map-switch/map-participant.ts
+++ b/src/map-switch/map-participant.ts
@@ -3,11 +3,11 @@
 } from 'robot3';
 import {type LinkMessage} from '../link/link-message.js';
 import {type MessageOf} from '../link/message-of.js';
-import {type EngineOrders} from './engine-orders.js';
+import {type EngineClient} from './engine-client.js';
 
 type ParticipantOptions = {
 	readonly rank: number;
-	readonly engine: EngineOrders;
+	readonly engine: EngineClient;
 	/** Sends a message to the coordinator, at rank 0's target process. */
 	readonly send: (message: LinkMessage) => void;
 	/** Highest fencing number that the platform names for the group; rejects while that is not known. */
@@ -25,7 +25,7 @@
 });
 
 /** Time between questions to the coordinator while a decision is awaited, milliseconds. */
-const questionMs = 200;
+const questionIntervalMs = 200;
 
 /**
  * One rank's part in a map switch. Once it has voted for a step, its engine does not pass that step before the
@@ -76,7 +76,7 @@
 			await this.enqueue(async () => this.recover());
 		}
 
-		if (this.state === 'prepared' && now - this.askedAt >= questionMs) {
+		if (this.state === 'prepared' && now - this.askedAt >= questionIntervalMs) {
 			this.askedAt = now;
 			this.options.send({
 				type: 'map-question', rank: this.options.rank, fence: this.fence, epoch: this.epoch,
@@ -119,10 +119,10 @@
 
 	private async stage(order: MessageOf<'map-stage'>): Promise<void> {
 		// An order of the same fencing number is the same order; a lower one comes from a planner that was overtaken.
-		const isOld = order.fence < this.fence || this.state === 'prepared';
+		const isStale = order.fence < this.fence || this.state === 'prepared';
 		const {holdStep, switchStep} = await this.options.engine.read();
 		const isBound = holdStep !== undefined || switchStep !== undefined;
-		const accepted = !isOld && !isBound && await this.options.engine.stage(order);
+		const accepted = !isStale && !isBound && await this.options.engine.stage(order);
 		if (accepted) {
 			this.fence = order.fence;
 			this.epoch = order.epoch;
@@ -133,8 +133,8 @@
 	}
 
 	private async prepare(order: MessageOf<'map-prepare'>): Promise<void> {
-		const isOurs = order.fence === this.fence && order.epoch === this.epoch;
-		const accepted = isOurs && (this.state === 'prepared' || (this.state === 'staged' && await this.options.engine.prepare(order)));
+		const isCurrent = order.fence === this.fence && order.epoch === this.epoch;
+		const accepted = isCurrent && (this.state === 'prepared' || (this.state === 'staged' && await this.options.engine.prepare(order)));
 		if (accepted) {
 			this.service.send('held');
 		}
@@ -143,8 +143,8 @@
 	}
 
 	private async decide(order: MessageOf<'map-decision'>): Promise<void> {
-		const isOurs = order.fence === this.fence && order.epoch === this.epoch;
-		if (!isOurs || order.decision === 'undecided' || this.state === 'idle') {
+		const isCurrent = order.fence === this.fence && order.epoch === this.epoch;
+		if (!isCurrent || order.decision === 'undecided' || this.state === 'idle') {
 			return;
 		}
 
--- a/src/maps/generate-trace.ts
+++ b/src/maps/generate-trace.ts
@@ -22,7 +22,7 @@
 const noiseShare = 0.05;
 /** Steps of the random walk of log popularity within a burst, per interval. */
 const burstStep = 0.06;
-const flipEvery = 25;
+const flipIntervals = 25;
 const flipShare = 0.3;
 
 const makeRandom = (seed: number): Random => {
@@ -90,7 +90,7 @@
 			}
 
 			case 'flip': {
-				current = index > 0 && index % flipEvery === 0 ? flip(current, random) : current;
+				current = index > 0 && index % flipIntervals === 0 ? flip(current, random) : current;
 				break;
 			}
 
--- a/src/maps/layer-search.ts
+++ b/src/maps/layer-search.ts
@@ -9,10 +9,10 @@
 /* The peak is smoothed as a norm of rank loads of this order, so that lowering one of several equally hot ranks
  * already counts. It must be a power of two: the norm is taken by squaring. */
 const squarings = 4;
-const order = 2 ** squarings;
+const normOrder = 2 ** squarings;
 /** Improvements below this share of the mean rank load are rounding. */
-const leastGainShare = 1e-6;
-const none = -1;
+const minimumGainShare = 1e-6;
+const noSlot = -1;
 /** Deviations above its expected load that a rank is reckoned with; the largest of many ranks lies about there. */
 const riskDeviations = 1.5;
 
@@ -27,8 +27,8 @@
 	private readonly holders: number[][];
 	private readonly rankLoads: Float64Array;
 	private readonly powers: Float64Array;
-	private readonly isHeld: Uint8Array;
-	private readonly mean: number;
+	private readonly isPlaced: Uint8Array;
+	private readonly meanRankLoad: number;
 	private readonly slots: number;
 	/** Tokens of load that one unit of variance on a rank counts as. */
 	private readonly riskRate: number;
@@ -36,7 +36,7 @@
 	private readonly changes: Float64Array;
 	/** The best change found so far in one search; `otherIndex` is set for a swap. */
 	private readonly best = {
-		worth: 0, index: 0, expert: 0, otherIndex: none,
+		gainPerCopy: 0, index: 0, expert: 0, otherIndex: noSlot,
 	};
 
 	private touchedCount = 0;
@@ -59,7 +59,7 @@
 		this.experts = Int32Array.from(map.flat());
 		this.counts = new Int32Array(loads.length);
 		this.holders = Array.from({length: loads.length}, () => []);
-		this.isHeld = new Uint8Array(loads.length * ranks);
+		this.isPlaced = new Uint8Array(loads.length * ranks);
 		this.rankLoads = new Float64Array(ranks);
 		this.powers = new Float64Array(ranks);
 		this.changes = new Float64Array(ranks);
@@ -69,9 +69,9 @@
 			total += load;
 		}
 
-		this.mean = total / ranks;
+		this.meanRankLoad = total / ranks;
 		for (const [index, expert] of this.experts.entries()) {
-			this.hold(expert, Math.floor(index / this.slots));
+			this.addReplica(expert, Math.floor(index / this.slots));
 		}
 
 		this.riskRate = this.findRiskRate();
@@ -90,7 +90,7 @@
 
 	/** Mean rank load, tokens. */
 	get meanLoad(): number {
-		return this.mean;
+		return this.meanRankLoad;
 	}
 
 	/** Standard deviation of the hottest rank's load, tokens. */
@@ -101,21 +101,21 @@
 	/** The change that gains most for each copy it places; undefined when none gains. */
 	findBest(): LayerChange | undefined {
 		const hot = this.findHottest();
-		this.best.worth = 0;
+		this.best.gainPerCopy = 0;
 		this.searchSwaps(hot);
 		this.searchReplicas(hot);
-		return this.best.worth > 0 ? this.describeBest() : undefined;
+		return this.best.gainPerCopy > 0 ? this.describeBest() : undefined;
 	}
 
 	/** Carries a change out. */
 	apply(change: LayerChange): void {
 		for (const {rank, slot} of change.placements) {
-			this.release(this.experts[(rank * this.slots) + slot], rank);
+			this.removeReplica(this.experts[(rank * this.slots) + slot], rank);
 		}
 
 		for (const {rank, slot, expert} of change.placements) {
 			this.experts[(rank * this.slots) + slot] = expert;
-			this.hold(expert, rank);
+			this.addReplica(expert, rank);
 		}
 
 		this.refresh();
@@ -129,7 +129,7 @@
 	private searchSwaps(hot: number): void {
 		for (let index = hot * this.slots; index < (hot + 1) * this.slots; index++) {
 			const expert = this.experts[index];
-			const share = this.weigh(expert, this.counts[expert]);
+			const share = this.getReplicaLoad(expert, this.counts[expert]);
 			for (let rank = 0; rank < this.rankLoads.length; rank++) {
 				if (rank === hot || this.isOn(expert, rank)) {
 					continue;
@@ -147,7 +147,7 @@
 
 		for (let otherIndex = rank * this.slots; otherIndex < (rank + 1) * this.slots; otherIndex++) {
 			const other = this.experts[otherIndex];
-			const difference = share - this.weigh(other, this.counts[other]);
+			const difference = share - this.getReplicaLoad(other, this.counts[other]);
 			const added = difference * this.paces[rank];
 			if (difference <= 0 || this.rankLoads[rank] + added >= this.rankLoads[hot] || this.isOn(other, hot) || !this.canPlace(hot, other)) {
 				continue;
@@ -155,8 +155,8 @@
 
 			const delta = this.power(this.rankLoads[hot] - (difference * this.paces[hot])) + this.power(this.rankLoads[rank] + added)
 				- this.powers[hot] - this.powers[rank];
-			if (-delta / 2 > this.best.worth) {
-				this.best.worth = -delta / 2;
+			if (-delta / 2 > this.best.gainPerCopy) {
+				this.best.gainPerCopy = -delta / 2;
 				this.best.index = index;
 				this.best.expert = other;
 				this.best.otherIndex = otherIndex;
@@ -192,25 +192,25 @@
 			return;
 		}
 
-		const share = this.weigh(expert, this.counts[expert]);
-		const newShare = this.weigh(expert, this.counts[expert] + 1);
-		const evictedShare = this.weigh(evicted, this.counts[evicted]);
-		const newEvictedShare = this.weigh(evicted, this.counts[evicted] - 1);
+		const share = this.getReplicaLoad(expert, this.counts[expert]);
+		const newShare = this.getReplicaLoad(expert, this.counts[expert] + 1);
+		const evictedShare = this.getReplicaLoad(evicted, this.counts[evicted]);
+		const newEvictedShare = this.getReplicaLoad(evicted, this.counts[evicted] - 1);
 		this.touch(rank, newShare - evictedShare);
-		this.touchHolders(expert, newShare - share, none);
+		this.touchHolders(expert, newShare - share, noSlot);
 		this.touchHolders(evicted, newEvictedShare - evictedShare, rank);
 
-		const worth = -this.settleTouched();
-		if (worth > this.best.worth) {
-			this.best.worth = worth;
+		const gainPerCopy = -this.sumTouchedChanges();
+		if (gainPerCopy > this.best.gainPerCopy) {
+			this.best.gainPerCopy = gainPerCopy;
 			this.best.index = index;
 			this.best.expert = expert;
-			this.best.otherIndex = none;
+			this.best.otherIndex = noSlot;
 		}
 	}
 
 	/* Sums up what the touched ranks change in the power sum, and forgets them. */
-	private settleTouched(): number {
+	private sumTouchedChanges(): number {
 		let delta = 0;
 		for (let position = 0; position < this.touchedCount; position++) {
 			const rank = this.touched[position];
@@ -244,16 +244,16 @@
 
 	/* Turns the change of the power sum into tokens of the smoothed peak. */
 	private describeBest(): LayerChange | undefined {
-		const {index, otherIndex, expert, worth} = this.best;
+		const {index, otherIndex, expert, gainPerCopy} = this.best;
 		const placements = [this.makePlacement(index, expert)];
-		if (otherIndex !== none) {
+		if (otherIndex !== noSlot) {
 			placements.push(this.makePlacement(otherIndex, this.experts[index]));
 		}
 
-		const before = this.powerSum ** (1 / order);
-		const after = Math.max(0, this.powerSum - (worth * placements.length)) ** (1 / order);
-		const gain = (before - after) * this.mean;
-		return gain > this.mean * leastGainShare ? {placements, gain} : undefined;
+		const before = this.powerSum ** (1 / normOrder);
+		const after = Math.max(0, this.powerSum - (gainPerCopy * placements.length)) ** (1 / normOrder);
+		const gain = (before - after) * this.meanRankLoad;
+		return gain > this.meanRankLoad * minimumGainShare ? {placements, gain} : undefined;
 	}
 
 	private makePlacement(index: number, expert: number): Placement {
@@ -261,26 +261,26 @@
 	}
 
 	private isOn(expert: number, rank: number): boolean {
-		return this.isHeld[(expert * this.rankLoads.length) + rank] === 1;
+		return this.isPlaced[(expert * this.rankLoads.length) + rank] === 1;
 	}
 
-	private hold(expert: number, rank: number): void {
+	private addReplica(expert: number, rank: number): void {
 		this.counts[expert]++;
 		this.holders[expert].push(rank);
-		this.isHeld[(expert * this.rankLoads.length) + rank] = 1;
+		this.isPlaced[(expert * this.rankLoads.length) + rank] = 1;
 	}
 
-	private release(expert: number, rank: number): void {
+	private removeReplica(expert: number, rank: number): void {
 		this.counts[expert]--;
 		this.holders[expert].splice(this.holders[expert].indexOf(rank), 1);
-		this.isHeld[(expert * this.rankLoads.length) + rank] = 0;
+		this.isPlaced[(expert * this.rankLoads.length) + rank] = 0;
 	}
 
 	private refresh(): void {
 		this.rankLoads.fill(0);
 		for (const [index, expert] of this.experts.entries()) {
 			const rank = Math.floor(index / this.slots);
-			this.rankLoads[rank] += this.weigh(expert, this.counts[expert]) * this.paces[rank];
+			this.rankLoads[rank] += this.getReplicaLoad(expert, this.counts[expert]) * this.paces[rank];
 		}
 
 		this.powerSum = 0;
@@ -291,7 +291,7 @@
 	}
 
 	/* What one replica of an expert puts on its rank: its share of the load, and the risk of that share. */
-	private weigh(expert: number, count: number): number {
+	private getReplicaLoad(expert: number, count: number): number {
 		return (this.loads[expert] / count) + (this.riskRate * this.variances[expert] / (count * count));
 	}
 
@@ -316,7 +316,7 @@
 	}
 
 	private power(load: number): number {
-		let value = load / this.mean;
+		let value = load / this.meanRankLoad;
 		for (let step = 0; step < squarings; step++) {
 			value *= value;
 		}
--- a/src/maps/load-forecast.ts
+++ b/src/maps/load-forecast.ts
@@ -15,13 +15,13 @@
 	{gain: 0.3, trendGain: 0.08},
 ] as const;
 /** How much of each predictor's past error still counts after one interval. */
-const errorMemory = 0.9;
+const errorDecay = 0.9;
 /** How much better than the plain mean another predictor must be to be believed. */
 const meanAdvantage = 1.6;
 /** A miss this many times larger than usual is a sudden change: what was learnt before no longer counts. */
 const changeFactor = 8;
 /** Intervals after which it is known what a usual miss is. */
-const leastCount = 3;
+const minimumCount = 3;
 
 type LayerState = {
 	/** `levels[predictor][expert]`: share of the layer's load; the last predictor is the plain mean. */
@@ -46,7 +46,7 @@
 	/** Variance of the next load of each expert around that, tokens squared. */
 	readonly variances: Float64Array;
 	/** Share of that variance which is the expectation's own error, and not the interval's noise. */
-	readonly ownShare: number;
+	readonly forecastErrorShare: number;
 	/** Whether popularity does not seem to change, so that the plain mean is believed. */
 	readonly isSteady: boolean;
 	/** Intervals that it was learnt from, since the start or the last sudden change. */
@@ -81,7 +81,7 @@
 			loads: levels[best].map((share, expert) => Math.max(0, share + trends[best][expert]) * volume),
 			variances: variances.map(variance => variance * volume * volume),
 			// The variance of an exponential mean of independent samples, by that of one sample.
-			ownShare: best < predictors.length ? gain / (2 - gain) : gain,
+			forecastErrorShare: best < predictors.length ? gain / (2 - gain) : gain,
 			isSteady: best === predictors.length,
 			count,
 			horizon: Math.min(maximumHorizon, 1 / gain, count),
@@ -102,15 +102,15 @@
 		state.count++;
 		const best = findBest(state.errors);
 		const error = measureError(state, best, experts);
-		if (state.count > leastCount && error > changeFactor * state.usualError) {
-			forget(state);
+		if (state.count > minimumCount && error > changeFactor * state.usualError) {
+			resetPopularity(state);
 		} else if (state.count > 1) {
-			state.usualError += (error - state.usualError) / Math.min(state.count - 1, 1 / (1 - errorMemory));
-			learnVariances(state, best, experts);
+			state.usualError += (error - state.usualError) / Math.min(state.count - 1, 1 / (1 - errorDecay));
+			updateVariances(state, best, experts);
 		}
 
 		for (const predictor of state.levels.keys()) {
-			correct(state, predictor, experts);
+			updatePredictor(state, predictor, experts);
 		}
 	}
 }
@@ -129,7 +129,7 @@
 }
 
 /* The variances stay: a sudden change of popularity says nothing of the noise around it. */
-function forget(state: LayerState): void {
+function resetPopularity(state: LayerState): void {
 	for (const predictor of state.levels.keys()) {
 		state.levels[predictor].fill(0);
 		state.trends[predictor].fill(0);
@@ -143,43 +143,43 @@
 	return count === 1 ? 1 : (predictors[predictor]?.gain ?? 1 / count);
 }
 
-function getMiss(state: LayerState, predictor: number, expert: number, load: number): number {
+function getError(state: LayerState, predictor: number, expert: number, load: number): number {
 	return (load / state.volume) - state.levels[predictor][expert] - state.trends[predictor][expert];
 }
 
 function measureError(state: LayerState, predictor: number, experts: readonly number[]): number {
 	let error = 0;
 	for (const [expert, load] of experts.entries()) {
-		error += getMiss(state, predictor, expert, load) ** 2;
+		error += getError(state, predictor, expert, load) ** 2;
 	}
 
 	return error;
 }
 
-function learnVariances(state: LayerState, best: number, experts: readonly number[]): void {
+function updateVariances(state: LayerState, best: number, experts: readonly number[]): void {
 	const isMean = best === predictors.length;
-	const weight = isMean ? 1 / state.count : Math.max(1 - errorMemory, 1 / state.count);
+	const weight = isMean ? 1 / state.count : Math.max(1 - errorDecay, 1 / state.count);
 	for (const [expert, load] of experts.entries()) {
-		const miss = getMiss(state, best, expert, load);
+		const miss = getError(state, best, expert, load);
 		state.variances[expert] += weight * ((miss * miss) - state.variances[expert]);
 	}
 }
 
 /* Lets one predictor learn from an interval. */
-function correct(state: LayerState, predictor: number, experts: readonly number[]): void {
+function updatePredictor(state: LayerState, predictor: number, experts: readonly number[]): void {
 	const levels = state.levels[predictor];
 	const trends = state.trends[predictor];
 	const gain = getGain(predictor, state.count);
 	const trendGain = state.count === 1 ? 0 : (predictors[predictor]?.trendGain ?? 0);
 	let error = 0;
 	for (const [expert, load] of experts.entries()) {
-		const miss = getMiss(state, predictor, expert, load);
+		const miss = getError(state, predictor, expert, load);
 		levels[expert] += trends[expert] + (gain * miss);
 		trends[expert] += trendGain * miss;
 		error += miss * miss;
 	}
 
-	state.errors[predictor] = state.count === 1 ? 0 : (state.errors[predictor] * errorMemory) + error;
+	state.errors[predictor] = state.count === 1 ? 0 : (state.errors[predictor] * errorDecay) + error;
 }
 
 /* The plain mean is the last predictor; it stays unless another is clearly better. */
--- a/src/maps/map-planner.ts
+++ b/src/maps/map-planner.ts
@@ -8,25 +8,25 @@
 
 /** Share of all slots that may be filled anew in one interval when both weights are equal, and its limits. */
 const evenShare = 0.015;
-const leastShare = 0.004;
-const greatestShare = 0.038;
+const minimumShare = 0.004;
+const maximumShare = 0.038;
 /** Intervals whose unused budget is kept. */
 const savedIntervals = 9;
 /** Copies that one plan places at most, which bounds its time. */
-const mostCopies = 1500;
+const maximumCopies = 1500;
 /** Copies that a small group may save up for, so that it can change at all. */
-const leastSaved = 8;
+const minimumSavedLimit = 8;
 
 /** Plans the maps of one group over time: forecasts from the loads seen so far, within a budget of moves. */
 export class MapPlanner {
 	private readonly forecast = new LoadForecast();
 	private readonly share: number;
-	private saved: number;
+	private savedCopies: number;
 
 	constructor(private readonly shape: MapShape, private readonly weights: MapWeights) {
 		const ratio = weights.move === 0 ? Number.POSITIVE_INFINITY : weights.skew / weights.move;
-		this.share = Math.min(greatestShare, Math.max(leastShare, evenShare * Math.sqrt(ratio)));
-		this.saved = this.mostSaved;
+		this.share = Math.min(maximumShare, Math.max(minimumShare, evenShare * Math.sqrt(ratio)));
+		this.savedCopies = this.savedLimit;
 	}
 
 	/**
@@ -37,20 +37,20 @@
 	 */
 	plan(map: ExpertMap, loads: LayerLoads): ExpertMap {
 		this.forecast.observe(loads);
-		this.saved = Math.min(this.mostSaved, this.saved + this.budgetPerInterval);
+		this.savedCopies = Math.min(this.savedLimit, this.savedCopies + this.budgetPerInterval);
 		const next = planMap({
-			map, shape: this.shape, forecast: this.forecast, weights: this.weights, budget: Math.min(mostCopies, Math.floor(this.saved)),
+			map, shape: this.shape, forecast: this.forecast, weights: this.weights, budget: Math.min(maximumCopies, Math.floor(this.savedCopies)),
 		});
 		if (!next) {
 			return map;
 		}
 
-		this.saved -= countMoves(map, next);
+		this.savedCopies -= countMoves(map, next);
 		return next;
 	}
 
-	private get mostSaved(): number {
-		return Math.max(leastSaved, this.budgetPerInterval * savedIntervals);
+	private get savedLimit(): number {
+		return Math.max(minimumSavedLimit, this.budgetPerInterval * savedIntervals);
 	}
 
 	private get budgetPerInterval(): number {
--- a/src/maps/pack-layer.ts
+++ b/src/maps/pack-layer.ts
@@ -21,7 +21,7 @@
 };
 
 /* A copy that fits nowhere without standing twice on a rank trades places with one that may go there. */
-const placeByTrade = (placed: number[][], copy: Copy, slots: number): void => {
+const placeBySwap = (placed: number[][], copy: Copy, slots: number): void => {
 	const open = placed.findIndex(experts => experts.length < slots);
 	for (const experts of placed) {
 		const slot = experts.findIndex(expert => !placed[open].includes(expert));
@@ -55,7 +55,7 @@
 		}
 
 		if (best === -1) {
-			placeByTrade(placed, copy, shape.slots);
+			placeBySwap(placed, copy, shape.slots);
 		} else {
 			placed[best].push(copy.expert);
 			rankLoads[best] += copy.load;
--- a/src/maps/plan-map.ts
+++ b/src/maps/plan-map.ts
@@ -28,11 +28,11 @@
 /** What placing one copy costs, as a share of one interval's step time, when both weights are equal. */
 const copyCost = 2e-5;
 /** A layer changes only if its peak falls by this many standard errors of the forecast. */
-const certainty = 0.5;
+const minimumStandardErrors = 0.5;
 /** The same while popularity does not seem to change: the largest of many ranks is then mostly noise. */
-const steadyCertainty = 4;
+const steadyStandardErrors = 4;
 /** And by this share of its mean rank load, in either case. */
-const leastReliefShare = 0.002;
+const minimumReliefShare = 0.002;
 const steadyReliefShare = 0.03;
 /** After so many intervals without a change, a layer is left alone for anything less than this share. */
 const settledCount = 24;
@@ -42,9 +42,9 @@
 /** Layers that are packed afresh to see whether they are stuck, in one plan. */
 const maximumPackings = 6;
 
-const getWorth = (plan: LayerPlan): number => plan.next ? plan.next.gain * plan.forecast.horizon / plan.next.placements.length : 0;
+const getGainPerCopy = (plan: LayerPlan): number => plan.next ? plan.next.gain * plan.forecast.horizon / plan.next.placements.length : 0;
 
-const startLayer = (map: ExpertMap, layer: number, forecast: LoadForecast): LayerPlan => {
+const createLayerPlan = (map: ExpertMap, layer: number, forecast: LoadForecast): LayerPlan => {
 	const expected = forecast.getLayer(layer);
 	const search = new LayerSearch(map[layer], expected.loads, expected.variances);
 	return {
@@ -52,35 +52,35 @@
 	};
 };
 
-const findWorthiest = (layers: readonly LayerPlan[]): LayerPlan => {
-	let worthiest = layers[0];
+const findBestLayer = (layers: readonly LayerPlan[]): LayerPlan => {
+	let best = layers[0];
 	for (const plan of layers) {
-		if (getWorth(plan) > getWorth(worthiest)) {
-			worthiest = plan;
+		if (getGainPerCopy(plan) > getGainPerCopy(best)) {
+			best = plan;
 		}
 	}
 
-	return worthiest;
+	return best;
 };
 
 /* A gain that the forecast's own error may explain is not worth a copy. */
 const isCertain = (plan: LayerPlan): boolean => {
-	const {isSteady, ownShare, count} = plan.forecast;
+	const {isSteady, forecastErrorShare: ownShare, count} = plan.forecast;
 	const relief = plan.peakBefore - plan.search.peak;
 	const error = plan.search.getPeakDeviation() * Math.sqrt(ownShare);
 	const {meanLoad} = plan.search;
 	const steadyRelief = count >= settledCount ? settledReliefShare : steadyReliefShare;
 	return isSteady
-		? relief > Math.max(steadyCertainty * error, steadyRelief * meanLoad)
-		: relief > Math.max(certainty * error, leastReliefShare * meanLoad);
+		? relief > Math.max(steadyStandardErrors * error, steadyRelief * meanLoad)
+		: relief > Math.max(minimumStandardErrors * error, minimumReliefShare * meanLoad);
 };
 
 /* Takes single changes, the worthiest first in whichever layer; gives the copies of the budget that are left. */
-const improve = (layers: readonly LayerPlan[], leastWorth: number, budget: number): number => {
+const improve = (layers: readonly LayerPlan[], minimumGainPerCopy: number, budget: number): number => {
 	let left = budget;
 	for (;;) {
-		const best = findWorthiest(layers);
-		if (!best.next || getWorth(best) <= leastWorth || best.next.placements.length > left) {
+		const best = findBestLayer(layers);
+		if (!best.next || getGainPerCopy(best) <= minimumGainPerCopy || best.next.placements.length > left) {
 			return left;
 		}
 
@@ -92,7 +92,7 @@
 };
 
 /* A layer that no single change helps may still be far from what a fresh packing gives; that is taken if it pays. */
-const packStuckLayers = (layers: readonly LayerPlan[], shape: MapShape, leastWorth: number, budget: number): void => {
+const packStuckLayers = (layers: readonly LayerPlan[], shape: MapShape, minimumGainPerCopy: number, budget: number): void => {
 	let left = budget;
 	const worstFirst = layers.toSorted((one, other) => (other.search.peak / other.search.meanLoad) - (one.search.peak / one.search.meanLoad));
 	for (const plan of worstFirst.slice(0, maximumPackings)) {
@@ -103,7 +103,7 @@
 		const relief = plan.search.peak - search.peak;
 		const isStuck = relief > stuckShare * plan.search.meanLoad;
 		const extra = copies - plan.copies;
-		if (isStuck && extra <= left && relief * horizon > leastWorth * extra) {
+		if (isStuck && extra <= left && relief * horizon > minimumGainPerCopy * extra) {
 			left -= extra;
 			plan.search = search;
 			plan.copies = copies;
@@ -120,15 +120,15 @@
 export function planMap({
 	map, shape, forecast, weights, budget,
 }: PlanOptions): ExpertMap | undefined {
-	const layers = map.map((_ranks, layer) => startLayer(map, layer, forecast));
+	const layers = map.map((_ranks, layer) => createLayerPlan(map, layer, forecast));
 	let stepTime = 0;
 	for (const {search} of layers) {
 		stepTime += search.meanLoad;
 	}
 
-	const leastWorth = weights.skew === 0 ? Number.POSITIVE_INFINITY : copyCost * stepTime * weights.move / weights.skew;
-	const left = improve(layers, leastWorth, budget);
-	packStuckLayers(layers, shape, leastWorth, left);
+	const minimumGainPerCopy = weights.skew === 0 ? Number.POSITIVE_INFINITY : copyCost * stepTime * weights.move / weights.skew;
+	const left = improve(layers, minimumGainPerCopy, budget);
+	packStuckLayers(layers, shape, minimumGainPerCopy, left);
 	const isChanged = layers.map(plan => plan.copies > 0 && isCertain(plan));
 	return isChanged.includes(true)
 		? map.map((ranks, layer) => isChanged[layer] ? layers[layer].search.toMap() : ranks)
