--- a/features/planner-term.feature
+++ b/features/planner-term.feature
@@ -1,16 +1,17 @@
-Feature: A planner's term is unique and later than all before, whatever the store gives out again
+Feature: Terms of planners are unique and increasing, even if a restored store reuses revisions
 
   Background:
-    Given 6 processes that seek a planner's office in a store
+    Given 6 processes that campaign for a planner key in a store
 
-  # Terms were revisions: given out again, two planners held the same term, and their maps the same version.
-  Scenario Outline: A store that has come back older, <away> ms away, without the office: <case>
-    When one of them is in office since "<case>"
-    And the store comes back from that copy after <away> ms
-    And they go on for 6000 ms
-    Then one of them is in office
-    And no term was as high as one before
-    And the office was vacant for at most <vacant> ms
+  # Guards against terms that are plain revisions: the restored store reused them, so that two planners had the same term
+  # and their maps the same version.
+  Scenario Outline: The store is restored from an older copy after <away> ms, and the planner was elected <case>
+    When one of them has been elected "<case>"
+    And the store is restored from that copy after <away> ms
+    And they run for 6000 ms
+    Then one of them is the planner
+    And every term was higher than all earlier ones
+    And there was no planner for at most <vacant> ms
 
     Examples:
       | case                        | away | vacant |
@@ -21,17 +22,17 @@
       | before the copy             | 0    | 3300   |
       | before the copy             | 1500 | 3300   |
 
-  Scenario: The planner is lost with the store
-    When one of them is in office since "after the copy"
-    And it is lost, and the store comes back from that copy after 300 ms
-    And they go on for 8000 ms
-    Then one of them is in office
-    And no term was as high as one before
+  Scenario: The planner and the store are lost together
+    When one of them has been elected "after the copy"
+    And it is lost, and the store is restored from that copy after 300 ms
+    And they run for 8000 ms
+    Then one of them is the planner
+    And every term was higher than all earlier ones
 
-  Scenario Outline: Drills mixed with planners that stand still: seed <seed>
-    When drills and planners that stand still are mixed by seed <seed> for 60000 ms
-    Then one of them is in office
-    And no term was as high as one before
+  Scenario Outline: Random mixes of store restores and suspended planners: seed <seed>
+    When store restores and suspended planners are mixed by seed <seed> for 60000 ms
+    Then one of them is the planner
+    And every term was higher than all earlier ones
 
     Examples:
       | seed |
--- a/features/steps/expert-balance-steps.ts
+++ b/features/steps/expert-balance-steps.ts
@@ -2,205 +2,205 @@
 import {Given, Then, When} from '@cucumber/cucumber';
 import {getCountInterval} from '../../src/expert-balance/get-count-interval.js';
 import {LoadEstimator} from '../../src/expert-balance/load-estimator.js';
-import {RankGroup} from '../support/rank-group.js';
+import {GroupHarness} from '../support/group-harness.js';
 import {type SystemWorld} from '../support/system-world.js';
 
-const getFleet = (world: SystemWorld): RankGroup => world.notes.get('fleet') as RankGroup;
+const getHarness = (world: SystemWorld): GroupHarness => world.notes.get('harness') as GroupHarness;
 
-/** Longest time for which a scenario waits for what it is about, milliseconds. */
+/** Maximum time for which a scenario waits for a condition, milliseconds. */
 const waitTimeoutMs = 10_000;
 
-const isHeld = async (fleet: RankGroup): Promise<boolean> => {
-	const reports = await Promise.all([0, 1, 2, 3].map(async rank => fleet.group.open(rank).readReport()));
+const isHeld = async (harness: GroupHarness): Promise<boolean> => {
+	const reports = await Promise.all([0, 1, 2, 3].map(async rank => harness.group.open(rank).readReport()));
 	return reports.some(({heldStep}) => heldStep !== undefined);
 };
 
-const isArmed = async (fleet: RankGroup): Promise<boolean> => {
-	const reports = await Promise.all([0, 1, 2, 3].map(async rank => fleet.group.open(rank).readReport()));
+const isArmed = async (harness: GroupHarness): Promise<boolean> => {
+	const reports = await Promise.all([0, 1, 2, 3].map(async rank => harness.group.open(rank).readReport()));
 	return reports.some(({armed}) => armed !== undefined);
 };
 
-const waitFor = async (fleet: RankGroup, condition: (fleet: RankGroup) => Promise<boolean>): Promise<void> => {
-	const end = fleet.now + waitTimeoutMs;
-	while (!await condition(fleet)) {
-		assert.ok(fleet.now < end, fleet.log.join('\n'));
-		await fleet.run(20);
+const waitFor = async (harness: GroupHarness, condition: (harness: GroupHarness) => Promise<boolean>): Promise<void> => {
+	const end = harness.now + waitTimeoutMs;
+	while (!await condition(harness)) {
+		assert.ok(harness.now < end, harness.log.join('\n'));
+		await harness.run(20);
 	}
 };
 
-const runFaults = async (seed: number): Promise<RankGroup> => {
-	const fleet = new RankGroup(seed);
-	const {random, group} = fleet;
-	fleet.followAll(fleet.startPlanner(0));
+const runFaults = async (seed: number): Promise<GroupHarness> => {
+	const harness = new GroupHarness(seed);
+	const {random, group} = harness;
+	harness.followAll(harness.startPlanner(0));
 	group.options.lateShare = random() * 0.4;
 	group.options.unansweredShare = random() * 0.3;
-	fleet.lossShare = random() * 0.2;
-	fleet.hasEntry = random() < 0.5;
-	await fleet.run(30_000, () => {
+	harness.lossShare = random() * 0.2;
+	harness.hasEntry = random() < 0.5;
+	await harness.run(30_000, () => {
 		const rank = Math.floor(random() * 4);
-		const luck = random();
-		if (luck < 0.01) {
+		const draw = random();
+		if (draw < 0.01) {
 			group.shift();
-		} else if (luck < 0.014) {
-			fleet.restartAgent(rank);
-		} else if (luck < 0.018) {
-			fleet.suspended.add(rank);
-		} else if (luck < 0.03) {
-			fleet.suspended.delete(rank);
-		} else if (luck < 0.034) {
-			// The planner before may live on, awake or not, and not know that its term is over.
-			const last = fleet.planners.at(-1)!;
+		} else if (draw < 0.014) {
+			harness.restartAgent(rank);
+		} else if (draw < 0.018) {
+			harness.suspended.add(rank);
+		} else if (draw < 0.03) {
+			harness.suspended.delete(rank);
+		} else if (draw < 0.034) {
+			// The former planner may keep running, suspended or not, without knowing that its term has ended.
+			const last = harness.planners.at(-1)!;
 			last.isAlive = random() < 0.7;
 			last.isSuspended = random() < 0.5;
-			fleet.startPlanner(rank);
-		} else if (luck < 0.07) {
-			fleet.follow(rank, fleet.planners.at(-1)!);
-		} else if (luck < 0.08) {
-			fleet.planners[Math.floor(random() * fleet.planners.length)].isSuspended = false;
-		} else if (luck < 0.0815) {
+			harness.startPlanner(rank);
+		} else if (draw < 0.07) {
+			harness.follow(rank, harness.planners.at(-1)!);
+		} else if (draw < 0.08) {
+			harness.planners[Math.floor(random() * harness.planners.length)].isSuspended = false;
+		} else if (draw < 0.0815) {
 			group.reform();
 		}
 	});
 	group.options.lateShare = 0;
 	group.options.unansweredShare = 0;
-	fleet.lossShare = 0;
-	fleet.suspended.clear();
-	fleet.followAll(fleet.startPlanner(1));
-	await fleet.run(15_000);
-	return fleet;
+	harness.lossShare = 0;
+	harness.suspended.clear();
+	harness.followAll(harness.startPlanner(1));
+	await harness.run(15_000);
+	return harness;
 };
 
 Given('a lock-step group with a planner', function (this: SystemWorld) {
-	const fleet = new RankGroup(11);
-	fleet.followAll(fleet.startPlanner(0));
-	this.notes.set('fleet', fleet);
+	const harness = new GroupHarness(11);
+	harness.followAll(harness.startPlanner(0));
+	this.notes.set('harness', harness);
 });
 
-Given('a lock-step group with a planner, whose passes take {int} milliseconds and messages as long', function (this: SystemWorld, passMs: number) {
-	const fleet = new RankGroup(11, passMs);
-	fleet.latencyMs = 20;
-	fleet.followAll(fleet.startPlanner(0));
-	this.notes.set('fleet', fleet);
+Given('a lock-step group with a planner, whose passes and messages each take {int} milliseconds', function (this: SystemWorld, passMs: number) {
+	const harness = new GroupHarness(11, passMs);
+	harness.latencyMs = 20;
+	harness.followAll(harness.startPlanner(0));
+	this.notes.set('harness', harness);
 });
 
-Given('an entry in its reach', function (this: SystemWorld) {
-	getFleet(this).hasEntry = true;
+Given('an entry that the planner can reach', function (this: SystemWorld) {
+	getHarness(this).hasEntry = true;
 });
 
 Then('the entry has ordered every hold', function (this: SystemWorld) {
-	const {group, ordersViaEntry: orderedAside} = getFleet(this);
-	assert.ok(orderedAside > 0);
-	assert.equal(group.holds, orderedAside);
+	const {group, ordersViaEntry} = getHarness(this);
+	assert.ok(ordersViaEntry > 0);
+	assert.equal(group.holds, ordersViaEntry);
 });
 
-Given('half of the orders are left unanswered and carried out late', function (this: SystemWorld) {
-	getFleet(this).group.options.lateShare = 0.5;
+Given('half of the orders are not answered and take effect late', function (this: SystemWorld) {
+	getHarness(this).group.options.lateShare = 0.5;
 });
 
 When('{int} second(s) pass(es)', async function (this: SystemWorld, seconds: number) {
-	await getFleet(this).run(seconds * 1000);
+	await getHarness(this).run(seconds * 1000);
 });
 
-When('{int} seconds pass with a shift each {int} seconds', async function (this: SystemWorld, seconds: number, each: number) {
-	const fleet = getFleet(this);
+When('{int} seconds pass with a shift of demand every {int} seconds', async function (this: SystemWorld, seconds: number, each: number) {
+	const harness = getHarness(this);
 	for (let passed = 0; passed < seconds; passed += each) {
-		fleet.group.shift();
-		await fleet.run(each * 1000);
+		harness.group.shift();
+		await harness.run(each * 1000);
 	}
 });
 
-When('the planner dies as soon as a rank is armed', async function (this: SystemWorld) {
-	const fleet = getFleet(this);
-	await waitFor(fleet, isArmed);
-	fleet.planners[0].isAlive = false;
+When('the planner crashes as soon as a rank is armed', async function (this: SystemWorld) {
+	const harness = getHarness(this);
+	await waitFor(harness, isArmed);
+	harness.planners[0].isAlive = false;
 });
 
-When('the planner stands still as soon as a rank is armed', async function (this: SystemWorld) {
-	const fleet = getFleet(this);
-	await waitFor(fleet, isArmed);
-	fleet.planners[0].isSuspended = true;
+When('the planner is suspended as soon as a rank is armed', async function (this: SystemWorld) {
+	const harness = getHarness(this);
+	await waitFor(harness, isArmed);
+	harness.planners[0].isSuspended = true;
 });
 
-When('the planner\'s VM stands still as soon as the group is held', async function (this: SystemWorld) {
-	const fleet = getFleet(this);
-	await waitFor(fleet, isHeld);
-	fleet.planners[0].isSuspended = true;
-	fleet.suspended.add(0);
+When('the planner\'s VM is suspended as soon as the group is held', async function (this: SystemWorld) {
+	const harness = getHarness(this);
+	await waitFor(harness, isHeld);
+	harness.planners[0].isSuspended = true;
+	harness.suspended.add(0);
 });
 
-When('the VM of rank {int} is back', function (this: SystemWorld, rank: number) {
-	getFleet(this).suspended.delete(rank);
+When('the VM of rank {int} resumes', function (this: SystemWorld, rank: number) {
+	getHarness(this).suspended.delete(rank);
 });
 
-When('the VM of rank {int} stands still as soon as the group is held', async function (this: SystemWorld, rank: number) {
-	const fleet = getFleet(this);
-	await waitFor(fleet, isHeld);
-	fleet.suspended.add(rank);
+When('the VM of rank {int} is suspended as soon as the group is held', async function (this: SystemWorld, rank: number) {
+	const harness = getHarness(this);
+	await waitFor(harness, isHeld);
+	harness.suspended.add(rank);
 });
 
-When('another planner takes office', function (this: SystemWorld) {
-	const fleet = getFleet(this);
-	fleet.followAll(fleet.startPlanner(3));
+When('another planner is elected', function (this: SystemWorld) {
+	const harness = getHarness(this);
+	harness.followAll(harness.startPlanner(3));
 });
 
-When('another planner takes office, whose clock is {int} s ahead', async function (this: SystemWorld, seconds: number) {
-	const fleet = getFleet(this);
-	fleet.followAll(fleet.startPlanner(3, seconds * 1000));
+When('another planner is elected, whose clock is {int} s ahead', async function (this: SystemWorld, seconds: number) {
+	const harness = getHarness(this);
+	harness.followAll(harness.startPlanner(3, seconds * 1000));
 });
 
-When('the first planner wakes', function (this: SystemWorld) {
-	getFleet(this).planners[0].isSuspended = false;
+When('the first planner resumes', function (this: SystemWorld) {
+	getHarness(this).planners[0].isSuspended = false;
 });
 
-When('groups are tormented with seeds {int} to {int}', {timeout: 120_000}, async function (this: SystemWorld, first: number, last: number) {
-	const fleets = new Map<number, RankGroup>();
+When('groups run with injected faults, seeds {int} to {int}', {timeout: 120_000}, async function (this: SystemWorld, first: number, last: number) {
+	const harnesses = new Map<number, GroupHarness>();
 	for (let seed = first; seed <= last; seed++) {
-		fleets.set(seed, await runFaults(seed));
+		harnesses.set(seed, await runFaults(seed));
 	}
 
-	this.notes.set('fleets', fleets);
+	this.notes.set('harnesses', harnesses);
 });
 
 Then('the group has changed its map', function (this: SystemWorld) {
-	assert.ok(getFleet(this).group.switches > 0, getFleet(this).log.join('\n'));
+	assert.ok(getHarness(this).group.switches > 0, getHarness(this).log.join('\n'));
 });
 
 Then('no pass began on two maps', function (this: SystemWorld) {
-	assert.deepEqual(getFleet(this).group.mixedSteps, []);
+	assert.deepEqual(getHarness(this).group.mixedSteps, []);
 });
 
-Then('no pass was held back longer than {int} milliseconds', function (this: SystemWorld, ms: number) {
-	assert.ok(getFleet(this).group.longestHoldMs <= ms, String(getFleet(this).group.longestHoldMs));
+Then('no pass was delayed for more than {int} milliseconds', function (this: SystemWorld, ms: number) {
+	assert.ok(getHarness(this).group.longestHoldMs <= ms, String(getHarness(this).group.longestHoldMs));
 });
 
 Then('no rank is held', async function (this: SystemWorld) {
-	assert.equal(await isHeld(getFleet(this)), false, getFleet(this).log.join('\n'));
+	assert.equal(await isHeld(getHarness(this)), false, getHarness(this).log.join('\n'));
 });
 
 Then('none of them began a pass on two maps', function (this: SystemWorld) {
-	const mixed = [...this.notes.get('fleets') as Map<number, RankGroup>].filter(([, fleet]) => fleet.group.mixedSteps.length > 0);
-	assert.deepEqual(mixed.map(([seed, fleet]) => [seed, fleet.group.mixedSteps]), []);
+	const mixed = [...this.notes.get('harnesses') as Map<number, GroupHarness>].filter(([, harness]) => harness.group.mixedSteps.length > 0);
+	assert.deepEqual(mixed.map(([seed, harness]) => [seed, harness.group.mixedSteps]), []);
 });
 
-Then('all of them are free to go on afterwards', async function (this: SystemWorld) {
+Then('all of them continue after the faults end', async function (this: SystemWorld) {
 	const stuck: Array<[number, string]> = [];
-	for (const [seed, fleet] of this.notes.get('fleets') as Map<number, RankGroup>) {
-		const {step} = fleet.group;
-		await fleet.run(3000);
-		if (fleet.group.step < step + 20) {
-			stuck.push([seed, fleet.log.slice(-12).join('\n')]);
+	for (const [seed, harness] of this.notes.get('harnesses') as Map<number, GroupHarness>) {
+		const {step} = harness.group;
+		await harness.run(3000);
+		if (harness.group.step < step + 20) {
+			stuck.push([seed, harness.log.slice(-12).join('\n')]);
 		}
 	}
 
 	assert.deepEqual(stuck, []);
 });
 
-Then('counts of {int} ranks, {int} layers and {int} experts are read each {int} ms', (ranks: number, layers: number, experts: number, ms: number) => {
+Then('counts of {int} ranks, {int} layers and {int} experts are read every {int} ms', (ranks: number, layers: number, experts: number, ms: number) => {
 	const chosen = Array.from({length: layers}, () => Array.from({length: experts}, () => 0));
 	assert.equal(getCountInterval(ranks, {chosen}), ms);
 });
 
-Given('ranks that are heard each {int} ms, one after another', function (this: SystemWorld, intervalMs: number) {
+Given('ranks that report every {int} ms, one after another', function (this: SystemWorld, intervalMs: number) {
 	this.notes.set('interval', intervalMs);
 });
 
@@ -234,15 +234,15 @@
 	this.notes.set('meter', meter);
 });
 
-When('the engine starts again and has counted {int} choices of expert 2', function (this: SystemWorld, count: number) {
+When('the engine restarts and has counted {int} choices of expert 2', function (this: SystemWorld, count: number) {
 	(this.notes.get('meter') as LoadEstimator).record(0, countOne(2000, 1, [0, count]), 200);
 });
 
-Then('no choice is known of since', function (this: SystemWorld) {
+Then('no choices since the restart are known', function (this: SystemWorld) {
 	assert.deepEqual((this.notes.get('meter') as LoadEstimator).getLoads(200), []);
 });
 
-When('it has counted {int} more of expert 2', function (this: SystemWorld, count: number) {
+When('it has counted {int} more choices of expert 2', function (this: SystemWorld, count: number) {
 	(this.notes.get('meter') as LoadEstimator).record(0, countOne(2000, 2, [0, 600 + count]), 400);
 });
 
@@ -252,11 +252,11 @@
 	assert.ok(loads[1] > 0);
 });
 
-When('all of its engines start again', function (this: SystemWorld) {
-	getFleet(this).group.restart();
+When('all of its engines restart', function (this: SystemWorld) {
+	getHarness(this).group.restart();
 });
 
-Then('the group is not on the map that it was formed with', async function (this: SystemWorld) {
-	const {mapVersion} = await getFleet(this).group.open(0).readReport();
-	assert.ok(mapVersion > 0, getFleet(this).log.join('\n'));
+Then('the group no longer uses its initial map', async function (this: SystemWorld) {
+	const {mapVersion} = await getHarness(this).group.open(0).readReport();
+	assert.ok(mapVersion > 0, getHarness(this).log.join('\n'));
 });
--- a/features/steps/expert-plan-steps.ts
+++ b/features/steps/expert-plan-steps.ts
@@ -8,7 +8,7 @@
 import {PlannerElection} from '../../src/expert-balance/planner-election.js';
 import {type StoredValue} from '../../src/key-value/stored-value.js';
 import {LayerSearch} from '../../src/maps/layer-search.js';
-import {type RankGroup} from '../support/rank-group.js';
+import {type GroupHarness} from '../support/group-harness.js';
 import {type SystemWorld} from '../support/system-world.js';
 
 type Shape = {readonly ranks: number; readonly experts: number; readonly slots: number};
@@ -16,7 +16,7 @@
 const placeInTurn = ({ranks, experts}: Shape): number[][] =>
 	Array.from({length: ranks}, (_rank, rank) => Array.from({length: experts / ranks}, (_slot, slot) => rank + (slot * ranks)));
 
-/* Demand as a few models show it: the hottest experts have most of it. */
+/* Uneven demand as seen with some models: the hottest experts have most of it. */
 const drawLoads = (seed: number, experts: number): Float64Array => {
 	const generator = xoroshiro128plus(seed);
 	return Float64Array.from({length: experts}, () => 1000 * (uniformFloat64(generator) ** 8));
@@ -58,7 +58,7 @@
 	assert.ok(Math.max(...lengths) <= limit, String(lengths));
 });
 
-Then('no search leaves the hottest rank worse off', function (this: SystemWorld) {
+Then('no search increases the load of the hottest rank', function (this: SystemWorld) {
 	assert.deepEqual(this.notes.get('rises'), []);
 });
 
@@ -79,7 +79,7 @@
 	}));
 });
 
-Then('the plan brings no rank more than {int} copies/copy', function (this: SystemWorld, most: number) {
+Then('the plan gives no rank more than {int} copies/copy', function (this: SystemWorld, most: number) {
 	const plan = this.notes.get('plan') as ReturnType<typeof planGroupMap>;
 	assert.ok(plan.maximumCopies <= most && plan.copies > 0, JSON.stringify({...plan, map: undefined}));
 });
@@ -97,7 +97,7 @@
 	const chosen = Array.from({length: ranks}, () => [0, 0, 0, 0]);
 	for (let now = 0; now <= shiftAt + ms; now += intervalMs / ranks) {
 		const rank = Math.round(now / (intervalMs / ranks)) % ranks;
-		// Counts of the last interval: the shift shows in them by its part.
+		// Counts of the last interval include the shift in proportion to the time since it.
 		const after = Math.min(1, Math.max(0, (now - shiftAt) / intervalMs));
 		chosen[rank][second] += 100 * after;
 		chosen[rank][first] += 100 * (1 - after);
@@ -113,45 +113,45 @@
 	assert.ok(share < 0.2, String(share));
 });
 
-When('the group is formed anew', function (this: SystemWorld) {
-	const fleet = this.notes.get('fleet') as RankGroup;
-	this.notes.set('lines', fleet.log.length);
-	fleet.group.reform();
+When('the group is re-formed', function (this: SystemWorld) {
+	const harness = this.notes.get('harness') as GroupHarness;
+	this.notes.set('lines', harness.log.length);
+	harness.group.reform();
 });
 
-When('{int} ms of its work pass', async function (this: SystemWorld, ms: number) {
-	await (this.notes.get('fleet') as RankGroup).run(ms);
+When('the group runs for {int} ms', async function (this: SystemWorld, ms: number) {
+	await (this.notes.get('harness') as GroupHarness).run(ms);
 });
 
 Then('a map for the new epoch has been proposed', function (this: SystemWorld) {
-	const {log, group} = this.notes.get('fleet') as RankGroup;
+	const {log, group} = this.notes.get('harness') as GroupHarness;
 	const lines = log.slice(this.notes.get('lines') as number);
 	assert.ok(lines.some(line => line.includes(`epoch ${group.epoch}: map`)), lines.join('\n'));
 });
 
-Given('an office that {word} holds', function (this: SystemWorld, address: string) {
-	this.notes.set('office', {key: 'office', value: address, revision: 5});
+Given('a planner key that {word} holds', function (this: SystemWorld, address: string) {
+	this.notes.set('planner key', {key: 'planner', value: address, revision: 5});
 });
 
-When('a process at {word} looks after it', async function (this: SystemWorld, address: string) {
-	const office = this.notes.get('office') as StoredValue;
+When('a process at {word} takes part in the election', async function (this: SystemWorld, address: string) {
+	const plannerKey = this.notes.get('planner key') as StoredValue;
 	const election = new PlannerElection({
 		registry: {
-			get: async () => ok(office),
+			get: async () => ok(plannerKey),
 			keepLease: async () => ok(true),
 			grantLeaseFor: async () => ok('lease'),
-			commit: async ({conditions}) => ok(conditions[0].revision === office.revision ? {era: 0, number: office.revision + 1} : undefined),
+			commit: async ({conditions}) => ok(conditions[0].revision === plannerKey.revision ? {era: 0, number: plannerKey.revision + 1} : undefined),
 		},
-		key: office.key,
+		key: plannerKey.key,
 		address,
 		random: () => 0,
 		log: String,
 	});
-	const item = {...office, era: 0};
+	const item = {...plannerKey, era: 0};
 	await election.tick(0, {era: 0, holder: item, stored: item}, false);
 	this.notes.set('term', election.term);
 });
 
-Then('it is in office: {word}', function (this: SystemWorld, answer: string) {
+Then('it is the planner: {word}', function (this: SystemWorld, answer: string) {
 	assert.equal(this.notes.get('term') === undefined ? 'no' : 'yes', answer);
 });
--- a/features/steps/map-plan-steps.ts
+++ b/features/steps/map-plan-steps.ts
@@ -17,7 +17,7 @@
 import {runCommand} from '../support/run-command.js';
 import {type SystemWorld} from '../support/system-world.js';
 
-type Replays = Readonly<Record<'ours' | 'repack' | 'static', ReplayInterval[]>>;
+type Replays = Readonly<Record<'incremental' | 'repack' | 'static', ReplayInterval[]>>;
 
 const stepPauseMs = 2;
 const folder = mkdtempSync(path.join(tmpdir(), 'wardswitch-maps-'));
@@ -39,7 +39,7 @@
 	const run = (policy: 'incremental' | 'repack' | 'static') => replayTrace({
 		trace, shape, policy: makePolicy(policy, shape, weights), clock: () => 0,
 	});
-	world.notes.set('replays', {ours: run('incremental'), repack: run('repack'), static: run('static')} satisfies Replays);
+	world.notes.set('replays', {incremental: run('incremental'), repack: run('repack'), static: run('static')} satisfies Replays);
 };
 
 const runStep = async (world: SystemWorld): Promise<void> => {
@@ -97,29 +97,29 @@
 });
 
 Then('it moved at most {int} copies in the last {int} intervals', function (this: SystemWorld, copies: number, intervals: number) {
-	const moved = getReplays(this).ours.slice(-intervals).reduce((sum, {moves}) => sum + moves, 0);
+	const moved = getReplays(this).incremental.slice(-intervals).reduce((sum, {moves}) => sum + moves, 0);
 	assert.ok(moved <= copies, `${moved} copies`);
 });
 
 Then('its mean skew is at most {float} times that of a repack', function (this: SystemWorld, factor: number) {
-	const {ours, repack} = getReplays(this);
-	const [mine, theirs] = [summarizeReplay(ours).meanSkew, summarizeReplay(repack).meanSkew];
-	assert.ok(mine <= theirs * factor, `${mine} against ${theirs}`);
+	const {incremental, repack} = getReplays(this);
+	const [planned, repacked] = [summarizeReplay(incremental).meanSkew, summarizeReplay(repack).meanSkew];
+	assert.ok(planned <= repacked * factor, `${planned} against ${repacked}`);
 });
 
 Then('it moved at most a tenth of what the repack moved', function (this: SystemWorld) {
-	const {ours, repack} = getReplays(this);
-	assert.ok(summarizeReplay(ours).moves <= summarizeReplay(repack).moves / 10);
+	const {incremental, repack} = getReplays(this);
+	assert.ok(summarizeReplay(incremental).moves <= summarizeReplay(repack).moves / 10);
 });
 
 Then('it moved at most {int} in 100 of what the repack moved', function (this: SystemWorld, share: number) {
-	const {ours, repack} = getReplays(this);
-	assert.ok(summarizeReplay(ours).moves <= summarizeReplay(repack).moves * share / 100);
+	const {incremental, repack} = getReplays(this);
+	assert.ok(summarizeReplay(incremental).moves <= summarizeReplay(repack).moves * share / 100);
 });
 
-Then('it removed at least half of the static excess', function (this: SystemWorld) {
-	const {ours, static: unmoved} = getReplays(this);
-	assert.ok(summarizeReplay(ours).meanSkew - 1 <= (summarizeReplay(unmoved).meanSkew - 1) / 2);
+Then('it removed at least half of the excess skew of the static map', function (this: SystemWorld) {
+	const {incremental, static: unmoved} = getReplays(this);
+	assert.ok(summarizeReplay(incremental).meanSkew - 1 <= (summarizeReplay(unmoved).meanSkew - 1) / 2);
 });
 
 When(/^an operator replays a trace of (nothing|ragged layers|no JSON|negative loads|falling times)$/, async function (this: SystemWorld, kind: string) { // eslint-disable-line require-unicode-regexp
--- a/features/steps/map-switch-steps.ts
+++ b/features/steps/map-switch-steps.ts
@@ -106,12 +106,12 @@
 	getGroup(this).isLost = ({to, message}) => message.type === 'map-decision' && to !== 0;
 });
 
-When('rank 0\'s engine knows the decision', async function (this: SystemWorld) {
+When('rank 0\'s engine has received the decision', async function (this: SystemWorld) {
 	const group = getGroup(this);
 	assert.ok(await group.runUntil(() => group.engines.ranks[0].switchStep !== undefined));
 });
 
-When('messages arrive again', function (this: SystemWorld) {
+When('messages are delivered again', function (this: SystemWorld) {
 	getGroup(this).isLost = () => false;
 });
 
@@ -141,15 +141,15 @@
 	const group = getGroup(this);
 	assert.ok(await group.runUntil(() => group.engines.ranks[3].staged?.map[0][0][0] === 6));
 	group.isLost = () => false;
-	// They come before anything that is on the way now.
+	// They arrive before all messages that are in transit now.
 	group.envelopes.unshift(...this.notes.get('delayed') as MapGroup['envelopes']);
 });
 
-Given('the platform cannot be asked for fencing numbers', function (this: SystemWorld) {
+Given('fencing numbers cannot be read from the platform', function (this: SystemWorld) {
 	getGroup(this).platformFence = undefined;
 });
 
-When('the platform can be asked again', async function (this: SystemWorld) {
+When('fencing numbers can be read from the platform again', async function (this: SystemWorld) {
 	const group = getGroup(this);
 	group.platformFence = 0;
 	await group.runTurns(1300);
@@ -162,12 +162,12 @@
 	assert.ok(await group.runUntil(() => group.envelopes.length === 0 && isOver()));
 });
 
-Then(/^all ranks come to use epoch (\d+)$/, async function (this: SystemWorld, epoch: string) { // eslint-disable-line require-unicode-regexp
+Then(/^all ranks eventually use epoch (\d+)$/, async function (this: SystemWorld, epoch: string) { // eslint-disable-line require-unicode-regexp
 	const group = getGroup(this);
 	assert.ok(await group.runUntil(() => group.epochs.length === 1 && group.epochs[0] === Number(epoch)), `epochs ${group.epochs.join(', ')}`);
 });
 
-Then('all ranks come to use that epoch', async function (this: SystemWorld) {
+Then('all ranks eventually use that epoch', async function (this: SystemWorld) {
 	const group = getGroup(this);
 	const next = this.notes.get('next') as number;
 	assert.ok(await group.runUntil(() => group.epochs.length === 1 && group.epochs[0] === next), `epochs ${group.epochs.join(', ')}`);
@@ -187,15 +187,15 @@
 	}
 });
 
-Then('every step so far used one map, and steps go on', async function (this: SystemWorld) {
+Then('every step so far used one map, and steps continue', async function (this: SystemWorld) {
 	const group = getGroup(this);
 	const before = group.engines.step;
 	await group.runTurns(60);
-	assert.ok(group.engines.step > before, 'the group stands still');
+	assert.ok(group.engines.step > before, 'the group has stalled');
 	assert.deepEqual(group.engines.findMixedSteps(), []);
 });
 
-When('{int} groups of {int} ranks switch maps while messages are lost, doubled and late, ranks stall and processes restart', async function (this: SystemWorld, count: number, _ranks: number) {
+When('{int} groups of {int} ranks switch maps while messages are lost, duplicated and delayed, ranks stall and processes restart', async function (this: SystemWorld, count: number, _ranks: number) {
 	const groups: MapGroup[] = [];
 	for (let seed = 1; seed <= count; seed++) {
 		groups.push(await runFaults(seed));
@@ -213,12 +213,12 @@
 	assert.ok(groups.some(({commits}) => commits.length > 1), 'no group ever switched');
 });
 
-Then('every group goes on once the failures end', async function (this: SystemWorld) {
+Then('every group continues once the failures end', async function (this: SystemWorld) {
 	for (const [index, group] of (this.notes.get('groups') as MapGroup[]).entries()) {
 		await group.runTurns(100);
 		const before = group.engines.step;
 		await group.runTurns(10);
-		assert.ok(group.engines.step > before, `seed ${index + 1} stands still: ${JSON.stringify(group.engines.ranks)}`);
+		assert.ok(group.engines.step > before, `seed ${index + 1} has stalled: ${JSON.stringify(group.engines.ranks)}`);
 		assert.deepEqual(group.engines.findMixedSteps(), [], `seed ${index + 1}`);
 	}
 });
--- a/features/steps/planner-load-steps.ts
+++ b/features/steps/planner-load-steps.ts
@@ -6,7 +6,7 @@
 const getService = (world: SystemWorld): RankService => world.notes.get('rank service') as RankService;
 
 const bytesPerMegabit = 125_000;
-/* A model of the size whose groups stood still. */
+/* Size of a model whose groups stalled with one planner for all of them. */
 const shape = {
 	layers: 16, experts: 96, slots: 5, maximumNew: 2,
 };
@@ -19,7 +19,7 @@
 	}));
 });
 
-When('{int} seconds pass with a shift of its demand each {int} seconds', {timeout: 120_000}, async function (this: SystemWorld, seconds: number, each: number) {
+When('{int} seconds pass with a shift of its demand every {int} seconds', {timeout: 120_000}, async function (this: SystemWorld, seconds: number, each: number) {
 	await getService(this).run(seconds * 1000, each * 1000);
 });
 
@@ -32,7 +32,7 @@
 	assert.deepEqual(getService(this).groups.flatMap(({mixedSteps}) => mixedSteps), []);
 });
 
-Then('none of its passes was held back longer than {int} milliseconds', function (this: SystemWorld, ms: number) {
+Then('none of its passes was delayed for more than {int} milliseconds', function (this: SystemWorld, ms: number) {
 	const {groups, log} = getService(this);
 	const longest = groups.map(({longestHoldMs}) => longestHoldMs);
 	assert.ok(Math.max(...longest) <= ms, `${longest.join(', ')} ms\n${log.join('\n')}`);
--- a/features/steps/planner-term-steps.ts
+++ b/features/steps/planner-term-steps.ts
@@ -3,85 +3,85 @@
 import {ElectionCluster} from '../support/election-cluster.js';
 import {type SystemWorld} from '../support/system-world.js';
 
-const getCrowd = (world: SystemWorld): ElectionCluster => world.notes.get('offices') as ElectionCluster;
+const getCluster = (world: SystemWorld): ElectionCluster => world.notes.get('election cluster') as ElectionCluster;
 const longScenarioMs = 60_000;
 const settleMs = 3000;
-/** Time after the last trouble of a mixture, milliseconds. */
+/** Time to recover after the last fault of a random mix, milliseconds. */
 const recoveryMs = 8000;
 
-Given('{int} processes that seek a planner\'s office in a store', function (this: SystemWorld, count: number) {
-	const crowd = new ElectionCluster(count, 3);
+Given('{int} processes that campaign for a planner key in a store', function (this: SystemWorld, count: number) {
+	const cluster = new ElectionCluster(count, 3);
 	this.onClose(() => {
-		crowd.close();
+		cluster.close();
 	});
-	crowd.store.put('others/1', 1);
-	this.notes.set('offices', crowd);
+	cluster.store.put('others/1', 1);
+	this.notes.set('election cluster', cluster);
 });
 
-When('one of them is in office since {string}', async function (this: SystemWorld, moment: string) {
-	const crowd = getCrowd(this);
+When('one of them has been elected {string}', async function (this: SystemWorld, moment: string) {
+	const cluster = getCluster(this);
 	if (moment === 'after the copy') {
-		crowd.store.takeCopy();
+		cluster.store.takeCopy();
 	}
 
-	await crowd.pass(settleMs);
+	await cluster.pass(settleMs);
 	if (moment === 'after a term in the copy') {
-		crowd.store.takeCopy();
-		const [first] = crowd.listPlanners();
+		cluster.store.takeCopy();
+		const [first] = cluster.listPlanners();
 		first.isSuspended = true;
-		await crowd.pass(settleMs + settleMs);
+		await cluster.pass(settleMs + settleMs);
 		first.isSuspended = false;
-		await crowd.pass(settleMs);
+		await cluster.pass(settleMs);
 	}
 
 	if (moment === 'before the copy') {
-		crowd.store.takeCopy();
-		crowd.store.put('others/2', 2);
-		await crowd.pass(settleMs);
+		cluster.store.takeCopy();
+		cluster.store.put('others/2', 2);
+		await cluster.pass(settleMs);
 	}
 
-	crowd.longestVacancyMs = 0;
+	cluster.longestVacancyMs = 0;
 });
 
-When('the store comes back from that copy after {int} ms', async function (this: SystemWorld, awayMs: number) {
-	await getCrowd(this).restoreStore(awayMs);
+When('the store is restored from that copy after {int} ms', async function (this: SystemWorld, awayMs: number) {
+	await getCluster(this).restoreStore(awayMs);
 });
 
-When('it is lost, and the store comes back from that copy after {int} ms', async function (this: SystemWorld, awayMs: number) {
-	const crowd = getCrowd(this);
-	const [lost] = crowd.listPlanners();
+When('it is lost, and the store is restored from that copy after {int} ms', async function (this: SystemWorld, awayMs: number) {
+	const cluster = getCluster(this);
+	const [lost] = cluster.listPlanners();
 	lost.isSuspended = true;
 	lost.view.close();
-	crowd.candidates.splice(crowd.candidates.indexOf(lost), 1);
-	await crowd.restoreStore(awayMs);
+	cluster.candidates.splice(cluster.candidates.indexOf(lost), 1);
+	await cluster.restoreStore(awayMs);
 });
 
-When('they go on for {int} ms', {timeout: longScenarioMs}, async function (this: SystemWorld, ms: number) {
-	await getCrowd(this).pass(ms);
+When('they run for {int} ms', {timeout: longScenarioMs}, async function (this: SystemWorld, ms: number) {
+	await getCluster(this).pass(ms);
 });
 
-When('drills and planners that stand still are mixed by seed {int} for {int} ms', {timeout: longScenarioMs}, async function (this: SystemWorld, seed: number, ms: number) {
-	getCrowd(this).close();
-	const crowd = new ElectionCluster(getCrowd(this).candidates.length, seed);
-	this.notes.set('offices', crowd);
+When('store restores and suspended planners are mixed by seed {int} for {int} ms', {timeout: longScenarioMs}, async function (this: SystemWorld, seed: number, ms: number) {
+	getCluster(this).close();
+	const cluster = new ElectionCluster(getCluster(this).candidates.length, seed);
+	this.notes.set('election cluster', cluster);
 	this.onClose(() => {
-		crowd.close();
+		cluster.close();
 	});
-	crowd.store.put('others/1', 1);
-	crowd.store.takeCopy();
-	while (crowd.now < ms) {
-		await crowd.pass(200 + crowd.draw(2000));
-		const candidate = crowd.candidates[crowd.draw(crowd.candidates.length)];
-		const trouble = crowd.draw(5);
-		switch (trouble) {
+	cluster.store.put('others/1', 1);
+	cluster.store.takeCopy();
+	while (cluster.now < ms) {
+		await cluster.pass(200 + cluster.draw(2000));
+		const candidate = cluster.candidates[cluster.draw(cluster.candidates.length)];
+		const fault = cluster.draw(5);
+		switch (fault) {
 			case 0: {
-				await crowd.restoreStore(crowd.draw(2) * crowd.draw(2500));
+				await cluster.restoreStore(cluster.draw(2) * cluster.draw(2500));
 
 				break;
 			}
 
 			case 1: {
-				crowd.store.takeCopy();
+				cluster.store.takeCopy();
 
 				break;
 			}
@@ -93,30 +93,30 @@
 			}
 
 			default: {
-				crowd.store.put(`others/${crowd.draw(9)}`, crowd.now);
+				cluster.store.put(`others/${cluster.draw(9)}`, cluster.now);
 			}
 		}
 	}
 
-	for (const candidate of crowd.candidates) {
+	for (const candidate of cluster.candidates) {
 		candidate.isSuspended = false;
 	}
 
-	await crowd.pass(recoveryMs);
+	await cluster.pass(recoveryMs);
 });
 
-Then('one of them is in office', function (this: SystemWorld) {
-	const crowd = getCrowd(this);
-	assert.deepEqual(crowd.listPlanners().map(({id}) => `rank-${id}`), [crowd.store.read('office')]);
+Then('one of them is the planner', function (this: SystemWorld) {
+	const cluster = getCluster(this);
+	assert.deepEqual(cluster.listPlanners().map(({id}) => `rank-${id}`), [cluster.store.read('planner')]);
 });
 
-Then('no term was as high as one before', function (this: SystemWorld) {
-	const {terms} = getCrowd(this);
+Then('every term was higher than all earlier ones', function (this: SystemWorld) {
+	const {terms} = getCluster(this);
 	assert.ok(terms.length > 0);
 	assert.deepEqual(terms, [...new Set(terms)].toSorted((one, other) => one - other));
 });
 
-Then('the office was vacant for at most {int} ms', function (this: SystemWorld, ms: number) {
-	const {longestVacancyMs} = getCrowd(this);
+Then('there was no planner for at most {int} ms', function (this: SystemWorld, ms: number) {
+	const {longestVacancyMs} = getCluster(this);
 	assert.ok(longestVacancyMs <= ms, String(longestVacancyMs));
 });
--- a/features/support/election-cluster.ts
+++ b/features/support/election-cluster.ts
@@ -9,20 +9,20 @@
 
 type Candidate = {readonly id: string; readonly view: StoreView; readonly election: PlannerElection; term: number | undefined; isSuspended: boolean};
 
-const plannerKey = 'office';
+const plannerKey = 'planner';
 const turnMs = 10;
 const tickMs = 100;
 const waitMs = 12_000;
 const longestPauseMs = 2000;
 
-/** Processes that seek one planner's office in a store, by one clock. */
+/** Processes that campaign for one planner key in a store, on one simulated clock. */
 export class ElectionCluster {
 	now = 0;
 	readonly store = new MemoryStore(() => this.now);
 	readonly candidates: Candidate[] = [];
-	/** All terms, in the order in which they began. */
+	/** All terms, in the order in which they started. */
 	readonly terms: number[] = [];
-	/** Longest time for which nobody was in office, milliseconds. */
+	/** Longest time without a planner, milliseconds. */
 	longestVacancyMs = 0;
 	private readonly random: () => number;
 	private vacantMs = 0;
@@ -36,24 +36,24 @@
 		}
 	}
 
-	/** Draws a number below `count`. */
+	/** Returns a random integer below `count`. */
 	draw(count: number): number {
 		return Math.floor(this.random() * count);
 	}
 
-	/** Who is in office by own account. */
+	/** Processes that take themselves to be the planner. */
 	listPlanners(): Candidate[] {
 		return this.candidates.filter(({election}) => election.term !== undefined);
 	}
 
-	/** Sets what calls to the store come to, for all. */
+	/** Sets the fault of the store for the calls of all processes. */
 	setFault(fault: 'none' | 'down'): void {
 		for (const {id} of this.candidates) {
 			this.store.setFault(id, fault);
 		}
 	}
 
-	/** The store goes away and comes back from its copy. */
+	/** Makes the store unavailable for a time and restores it from its copy. */
 	async restoreStore(awayMs: number): Promise<void> {
 		if (awayMs > 0) {
 			this.setFault('down');
@@ -64,7 +64,7 @@
 		this.setFault('none');
 	}
 
-	/** Lets time pass. */
+	/** Advances the simulated clock. */
 	async pass(ms: number): Promise<void> {
 		for (const end = this.now + ms; this.now < end;) {
 			this.now += turnMs;
@@ -79,7 +79,7 @@
 		}
 	}
 
-	/** Ends what runs, and gives real time back. */
+	/** Closes the views and restores the real timers. */
 	close(): void {
 		for (const {view} of this.candidates) {
 			view.close();
@@ -89,8 +89,8 @@
 	}
 
 	private tick(): void {
-		for (const {view, election, isSuspended: isFrozen} of this.candidates) {
-			if (!isFrozen) {
+		for (const {view, election, isSuspended} of this.candidates) {
+			if (!isSuspended) {
 				view.tick(this.now);
 				void election.tick(this.now, view.isKnown ? {era: view.asOf.era, holder: view.get(plannerKey), stored: view.getStored(plannerKey)} : undefined, false);
 			}
--- a/features/support/rank-group.ts
+++ b/features/support/group-harness.ts
@@ -16,25 +16,25 @@
 	ranks: 4, layers: 2, experts: 8, slots: 3, maximumNew: 2,
 };
 
-/** A group with the processes beside its ranks and one planner or more, joined in memory; the scenario decides what fails. */
-export class RankGroup {
+/** A lock-step group with its rank agents and one planner or more, connected in memory; the scenario injects the faults. */
+export class GroupHarness {
 	now = 0;
 	readonly group: LockstepGroup;
 	readonly log: string[] = [];
 	readonly planners: Planner[] = [];
 	/** Share of the messages between processes that are lost. */
 	lossShare = 0;
-	/** Members that stand still. */
+	/** Ranks whose VM is suspended. */
 	readonly suspended = new Set<number>();
 	readonly random: () => number;
-	/** Whether an entry is there to give orders for planners, and how many it gave. */
+	/** Whether an entry forwards planners' orders, and how many it has forwarded. */
 	hasEntry = false;
 	ordersViaEntry = 0;
-	/** Time that a message between processes takes, milliseconds. */
+	/** Latency of a message between processes, milliseconds. */
 	latencyMs = 0;
 	private readonly agents: RankAgent[] = [];
 	private inTransit: Array<{readonly dueAt: number; readonly isHere: () => boolean; readonly take: () => void}> = [];
-	/** Planner that each member reports to. */
+	/** Planner to which each agent reports. */
 	private readonly followed: Array<Planner | undefined> = [];
 
 	constructor(seed: number, passMs = 60) {
@@ -49,7 +49,7 @@
 	}
 
 	/**
-	 * Begins a term of office beside a rank; the members hear of it when `follow` says so.
+	 * Starts a planner for a new term on a rank's VM; agents learn of it by `follow`.
 	 *
 	 * @param clockOffsetMs - how far the planner's clock is ahead of the others'
 	 */
@@ -80,7 +80,7 @@
 		return planner;
 	}
 
-	/** Lets a member know who is in office. */
+	/** Makes an agent follow a planner. */
 	follow(rank: number, planner: Planner): void {
 		this.followed[rank] = planner;
 		this.agents[rank].recordTerm(planner.term);
@@ -108,7 +108,7 @@
 		}
 	}
 
-	/** Lets time pass. */
+	/** Advances the simulated clock. */
 	async run(ms: number, cause?: () => void): Promise<void> {
 		const end = this.now + ms;
 		while (this.now < end) {
@@ -132,7 +132,7 @@
 		}
 	}
 
-	/* An entry's VM gives the order; it may be lost right after. */
+	/* Sends the order from an entry's VM, which may be lost right after it. */
 	private orderViaEntry(rank: number, order: RankOrder): boolean {
 		if (!this.hasEntry) {
 			return false;
@@ -143,7 +143,7 @@
 		return true;
 	}
 
-	/* The engine of a VM that stands still goes on with its group, and answers nobody. */
+	/* The engine of a suspended VM keeps running with its group, but answers no requests. */
 	private openRemotely(rank: number): RankEngine {
 		const engine = this.group.open(rank);
 		const check = (): void => {
@@ -174,7 +174,7 @@
 			return false;
 		}
 
-		// What is sent to a process that stands still waits in its socket.
+		// Messages to a suspended process wait in its socket.
 		this.send(() => !this.suspended.has(rank), () => {
 			this.agents[rank].receive(message);
 		});
--- a/features/support/limited-network.ts
+++ b/features/support/limited-network.ts
@@ -3,23 +3,23 @@
 import {type LinkMessage} from '../../src/link/link-message.js';
 
 type Host = {
-	/** When what was given to the VM's link before has left it, and has come in by it, milliseconds. */
+	/** When the VM's link has finished sending, and receiving, everything queued on it, milliseconds. */
 	uplinkFreeAt: number;
 	downlinkFreeAt: number;
-	/** What the VM has sent so far. */
+	/** Bytes that the VM has sent so far. */
 	sentBytes: number;
 	accept?: (connection: LinkConnection) => void;
 };
 
-/** One end of a connection: what the process there has asked for. */
+/** One end of a connection, with the handlers that its process has set. */
 type End = {receive: (message: LinkMessage) => void; readonly closeHandlers: Array<() => void>};
 
 type NetworkOptions = {
-	/** What the link of each VM carries each way. */
+	/** Bandwidth of each VM's link in each direction. */
 	readonly bytesPerSecond: number;
 	readonly latencyMs: number;
 	readonly clock: () => number;
-	/** Whether one VM reaches another now; all do where it is left out. What is under way when it does not is lost. */
+	/** Whether one VM can reach another now; always if absent. Messages in transit while it cannot are lost. */
 	readonly isReachable?: (from: string, to: string) => boolean;
 };
 
@@ -27,23 +27,23 @@
 
 const makeEnd = (): End => ({
 	receive() {
-		// Nobody has asked for messages yet.
+		// No handler has been set yet.
 	},
 	closeHandlers: [],
 });
 
-/** Links in memory between VMs whose own links carry so many bytes a second each way, and queue what is more. */
+/** In-memory network between VMs with links of limited bandwidth in each direction; messages beyond it are queued. */
 export class LimitedNetwork {
 	private readonly hosts = new Map<string, Host>();
 
 	constructor(private readonly options: NetworkOptions) {}
 
-	/** Has a process take links at an address. */
+	/** Accepts links at an address. */
 	listen(address: string, accept: (connection: LinkConnection) => void): void {
 		this.getHost(address).accept = accept;
 	}
 
-	/** Bytes that a VM has sent so far, those of frames alone. */
+	/** Returns the bytes that a VM has sent so far, counting frames only. */
 	getSentBytes(address: string): number {
 		return this.getHost(address).sentBytes;
 	}
@@ -66,7 +66,7 @@
 		});
 	}
 
-	/** Cuts what a process has open and listens with, as its end does. */
+	/** Stops accepting links at an address, as when its process ends. */
 	disconnect(address: string): void {
 		this.getHost(address).accept = undefined;
 	}
@@ -119,7 +119,7 @@
 		return connection as unknown as LinkConnection;
 	}
 
-	/* Gives when the message has come in: until then what follows on the connection waits at its sender. */
+	/* Returns when the message is received; later messages of the connection wait at the sender until then. */
 	private transmit(from: string, to: string, message: LinkMessage, deliver: () => void): number {
 		const {bytesPerSecond, latencyMs, clock} = this.options;
 		const now = clock();
--- a/features/support/map-group.ts
+++ b/features/support/map-group.ts
@@ -10,21 +10,21 @@
 
 const tickMs = 100;
 
-/** A group of ranks with its target processes, joined in memory; the scenario decides what arrives, and when. */
+/** A group of ranks with its target processes, connected in memory; the scenario decides which messages arrive, and when. */
 export class MapGroup {
 	now = 0;
 	readonly engines: EngineGroup;
 	readonly participants: MapParticipant[] = [];
 	coordinator: MapCoordinator;
 	readonly commits: number[] = [];
-	/** Messages on the way. */
+	/** Messages in transit. */
 	envelopes: Envelope[] = [];
-	/** Orders to rank 0's engine whose answer is lost after they took effect, still to come. */
+	/** Number of future orders to rank 0's engine whose answer is lost after they took effect. */
 	lostAnswers = 0;
-	/** Fencing number that the platform names; undefined while the platform is down. */
+	/** Fencing number that the platform has stored; undefined while the platform is down. */
 	platformFence: number | undefined = 0;
 	readonly random: () => number;
-	/** Says of each message whether it is lost, and whether it is delivered twice. */
+	/** Whether a message is lost, and whether it is delivered twice. */
 	isLost: (parcel: Envelope) => boolean;
 	isDuplicated: () => boolean;
 
@@ -41,7 +41,7 @@
 		this.coordinator = this.makeCoordinator();
 	}
 
-	/** Puts a planner's proposal on the way. */
+	/** Sends a planner's proposal. */
 	propose(fence: number, epoch: number): void {
 		this.platformFence = this.platformFence === undefined ? undefined : Math.max(this.platformFence, fence);
 		this.envelopes.push({
@@ -60,7 +60,7 @@
 		this.coordinator = this.makeCoordinator();
 	}
 
-	/** One turn: delivers what is on the way, lets every part see the time, and runs a step if all ranks can. */
+	/** Runs one turn: delivers the messages in transit, ticks every process, and runs a step if all ranks can. */
 	async turn(): Promise<boolean> {
 		this.now += tickMs;
 		const due = this.envelopes.splice(0);
@@ -88,16 +88,16 @@
 		}
 	}
 
-	/** Runs turns until a condition holds; false when it never did. */
-	async runUntil(condition: () => boolean, mostTurns = 3000): Promise<boolean> {
-		for (let turn = 0; turn < mostTurns && !condition(); turn++) {
+	/** Runs turns until a condition holds; returns whether it did. */
+	async runUntil(condition: () => boolean, maximumTurns = 3000): Promise<boolean> {
+		for (let turn = 0; turn < maximumTurns && !condition(); turn++) {
 			await this.turn();
 		}
 
 		return condition();
 	}
 
-	/** The epochs in use, without repetition. */
+	/** The distinct epochs in use. */
 	get epochs(): number[] {
 		return [...new Set(this.engines.ranks.map(({epoch}) => epoch))];
 	}
--- a/features/support/rank-service.ts
+++ b/features/support/rank-service.ts
@@ -19,7 +19,7 @@
 	readonly experts: number;
 	readonly slots: number;
 	readonly maximumNew: number;
-	/** What the link of each VM carries each way, bytes a second. */
+	/** Bandwidth of each VM's link in each direction, bytes per second. */
 	readonly bytesPerSecond: number;
 	readonly passMs: number;
 	readonly seed: number;
@@ -30,7 +30,7 @@
 const turnMs = 5;
 const latencyMs = 2;
 
-/** The groups of one service, with the process beside each rank on a VM of its own, joined by narrow links in memory. */
+/** The groups of one service, with the process of each rank on its own VM, connected in memory by links of limited bandwidth. */
 export class RankService {
 	now = 0;
 	readonly groups: LockstepGroup[] = [];
@@ -55,13 +55,13 @@
 		});
 	}
 
-	/** Engines by group as they are written for entries. */
+	/** Reads the listings of engines by group that planners publish for entries. */
 	async readListings(): Promise<GroupListing[]> {
 		const listed = await this.store.open('reader').list(groupKeys.prefix);
 		return listed._unsafeUnwrap().items.map(({value}) => GroupListing.parse(JSON.parse(value)));
 	}
 
-	/** Starts the processes and lets time pass; nothing but the turns of the scenario's clock moves them. */
+	/** Starts the processes and advances the simulated clock, on which all their timers run. */
 	async run(ms: number, shiftMs: number): Promise<void> {
 		mock.timers.enable({apis: ['setTimeout', 'setInterval']});
 		try {
--- a/src/expert-balance/balance-settings.ts
+++ b/src/expert-balance/balance-settings.ts
@@ -1,10 +1,10 @@
 import {z} from 'zod';
 
-/** When a group's map is changed, and how much of it. */
+/** When the planner changes a group's expert map, and by how much. */
 const BalanceSettings = z.strictObject({
-	leastGain: z.number().min(0).default(0.2).meta({description: 'Least fall of the skew (time of the most loaded ranks by the mean) that a change of the map must promise'}),
-	leastRelief: z.number().min(0).default(0.03).meta({description: 'Least relief that each copied expert must bring, as a share of the mean rank load of its layer'}),
-	horizonMs: z.int().min(100).default(2000).meta({description: 'How long a map is taken to serve before demand moves on, milliseconds; a smaller change is in force sooner and serves longer of it'}),
+	leastGain: z.number().min(0).default(0.2).meta({description: 'Minimum reduction of the skew (time of the most loaded ranks divided by the mean) that a new map must be expected to bring'}),
+	leastRelief: z.number().min(0).default(0.03).meta({description: 'Minimum load that each copied expert must take off the most loaded ranks, as a share of the mean rank load of its layer'}),
+	horizonMs: z.int().min(100).default(2000).meta({description: 'Assumed time before demand shifts again, milliseconds; a smaller change is in force sooner and is of use for more of it'}),
 	intervalMs: z.int().min(50).default(200).meta({description: 'Time between two plans, milliseconds'}),
 });
 type BalanceSettings = z.infer<typeof BalanceSettings>;
--- a/src/expert-balance/decide-orders.ts
+++ b/src/expert-balance/decide-orders.ts
@@ -9,28 +9,28 @@
 };
 
 type SwitchState = {
-	/** Reports of all ranks, by rank, each read after every rank had heard of this planner's term. */
+	/** Reports of all ranks, by rank, each read after every rank knew this planner's term. */
 	readonly reports: readonly RankReport[];
-	/** Map that the planner wants; undefined when it only finishes what another has begun. */
+	/** Map that the planner proposes; undefined when it only finishes a switch that another planner began. */
 	readonly proposal: Proposal | undefined;
-	/** Passes between the newest report and the switch: time to see the hold and arm every rank before the group gets there. */
+	/** Passes between the newest report and the switch: enough to see the hold and arm every rank before the group reaches that step. */
 	readonly leadSteps: number;
 	/** Rank that holds the group while the others are armed. */
 	readonly holder: number;
 };
 
 type Decision = {
-	readonly phase: 'rest' | 'prepare' | 'hold' | 'arm' | 'release' | 'finish';
+	readonly phase: 'idle' | 'prepare' | 'hold' | 'arm' | 'release' | 'finish';
 	readonly orders: ReadonlyArray<{readonly rank: number; readonly order: RankOrder}>;
 };
 
 const areAllEqual = <Value>(values: readonly Value[], wanted: Value): boolean => values.every(value => value === wanted);
 
 /**
- * Decides the next orders of a map switch from nothing but the ranks' reports, so that any planner can go on where
- * another stopped. A rank is armed only while the group is held before the step of the switch and every rank has the
- * map; the group is released only when every rank is armed, so no step begins on two maps. Once a rank may be armed
- * the only way is forward.
+ * Decides the next orders of a map switch from the ranks' reports alone, so that any planner can continue a switch that
+ * another one started. A rank is armed only while the group is held before the step of the switch and every rank has
+ * prepared the map; the group is released only when every rank is armed, so no step runs on two maps. Once any rank may
+ * be armed, the switch is completed and never rolled back.
  */
 export function decideOrders({reports, proposal, holder, leadSteps}: SwitchState): Decision {
 	const held = reports.filter(({heldStep}) => heldStep !== undefined);
@@ -44,7 +44,7 @@
 	}
 
 	if (!proposal || reports.some(({mapVersion}) => mapVersion === proposal.version)) {
-		return {phase: 'rest', orders: []};
+		return {phase: 'idle', orders: []};
 	}
 
 	const {version, epoch, map} = proposal;
@@ -65,11 +65,11 @@
 	return {phase: 'hold', orders: [{rank: holder, order: {type: 'hold', epoch, step}}]};
 }
 
-/* Some rank is armed: so were or will be all. */
+/* At least one rank is armed, so the others are armed as well. */
 function finishArming(reports: readonly RankReport[], armed: {readonly version: number; readonly step: number}, held: readonly RankReport[]): Decision {
 	const unarmed = reports.filter(report => report.armed?.version !== armed.version || report.armed.step !== armed.step);
 	if (unarmed.length > 0) {
-		// Ranks that use the map already have switched; the others follow as the step begins.
+		// Ranks that already use the map need no order; armed ranks switch when the step begins.
 		const behind = unarmed.filter(({mapVersion}) => mapVersion !== armed.version);
 		return {phase: 'arm', orders: behind.map(({rank, epoch}) => ({rank, order: {type: 'arm', epoch, ...armed}}))};
 	}
@@ -78,8 +78,8 @@
 }
 
 /*
- * The group is held and no rank is armed as far as reported. If every rank has one map ready, an order to arm may be
- * under way and take effect at any time: all are armed. Otherwise none was ever given, and the hold is let go.
+ * The group is held and no rank reports that it is armed. If every rank has prepared the same map, an order to arm may
+ * be in flight and take effect at any time, so all are armed. Otherwise no such order was sent, and the hold is released.
  */
 function resumeHeldSwitch(reports: readonly RankReport[], held: readonly RankReport[]): Decision {
 	const [{preparedVersion, mapVersion}] = reports;
--- a/src/expert-balance/get-count-interval.ts
+++ b/src/expert-balance/get-count-interval.ts
@@ -1,16 +1,16 @@
 import {type ExpertCounts} from './expert-counts.js';
 
-/** Least time between two readings of a rank's counts, milliseconds: demand shifts every few seconds. */
+/** Minimum time between two readings of a rank's counts, milliseconds: demand shifts every few seconds. */
 const minimumIntervalMs = 200;
-/** Bytes of one count in a frame, as counts of some thousands are written. */
+/** Encoded size of one count in a link frame, bytes; counts reach some thousands. */
 const bytesPerCount = 3;
-/** What the counts of all ranks may take of the planner's link, bytes a second: a third of 5.6 Mbit/s, the users' least. */
+/** Share of the planner's link that the counts of all ranks may use, bytes per second: a third of 5.6 Mbit/s, the slowest supported link. */
 const linkBytesPerSecond = 230_000;
 const secondMs = 1000;
 
 /**
- * Time between two readings of a rank's counts, milliseconds: all ranks of a group send theirs to one planner, so that
- * the larger the group and its map are, the less often they do.
+ * Returns the time between two readings of a rank's counts, milliseconds. All ranks of a group send their counts to one
+ * planner, so large groups and maps are read less often.
  *
  * @param ranks - ranks of the group
  */
--- a/src/expert-balance/group-controller.ts
+++ b/src/expert-balance/group-controller.ts
@@ -14,20 +14,20 @@
 
 type ControllerOptions = {
 	readonly group: string;
-	/** This planner's term of office; unique, and higher than those before. */
+	/** This planner's term; unique, and higher than all earlier terms. */
 	readonly term: number;
-	/** Rank beside which this planner runs. */
+	/** Rank on whose VM this planner runs. */
 	readonly ownRank: () => number;
 	readonly settings: BalanceSettings;
-	/** Slots per rank and layer, and new experts that a change may bring to each; undefined while not known. */
+	/** Slots per rank and layer, and new experts that one map change may add to each; undefined until known. */
 	readonly getShape: () => {readonly slots: number; readonly maximumNew: number} | undefined;
-	/** Sends a message to the process beside a rank; false when it is not in reach. */
+	/** Sends a message to a rank's process; false if it is not connected. */
 	readonly send: (rank: number, message: LinkMessage) => boolean;
-	/** Has an order given to an engine by a VM that runs no rank; false when none is in reach. */
+	/** Sends an order to an engine through an entry, whose VM runs no rank; false if no entry is connected. */
 	readonly orderViaEntry: (engineAddress: string, order: RankOrder) => boolean;
-	/** Reaches a rank's engine itself, when the process beside it is lost. */
+	/** Connects directly to a rank's engine, for ranks whose process is lost. */
 	readonly openEngine: (address: string) => RankEngine;
-	/** Addresses of all engines that are registered for the service; none while they are not known. */
+	/** Addresses of all engines that are registered for the service; empty while they are unknown. */
 	readonly listEngines: () => Promise<readonly string[]>;
 	readonly log: (message: string) => void;
 };
@@ -39,52 +39,53 @@
 	readonly epoch: number;
 	readonly map: ExpertMap;
 	readonly proposedAt: number;
-	/** Copies that the rank with the most must load. */
+	/** Copies that the rank with the most copies must load. */
 	readonly maximumCopies: number;
 };
 
 /**
- * The group is held only if every rank was heard within this time, milliseconds: a rank that is lost between the hold
- * and its arming holds all of them up. Ranks report every 40 ms then.
+ * The group is held only if every rank's process has reported within this time, milliseconds: a rank that is lost between
+ * the hold and its arming stops the whole group. Ranks report every 40 ms during a hold.
  */
 const maximumReportAgeMs = 130;
-/** An order that nothing was heard of is given again after this time, milliseconds. */
+/** An order without effect or answer is sent again after this time, milliseconds. */
 const orderRetryMs = 120;
-/** The same for an order to prepare: copying takes a while, and the rank says by itself when it is done. */
+/** The same for an order to prepare, milliseconds: copying takes longer, and the rank reports when it is done. */
 const prepareRetryMs = 480;
-/** A map that is not prepared everywhere after this time is dropped, milliseconds; copying takes a few hundred. */
+/** A map that some rank has not prepared within this time is dropped, milliseconds; copying takes a few hundred. */
 const prepareTimeoutMs = 3000;
 /**
- * Time between two signs of life while a map is prepared, milliseconds: those of before queued behind the orders to prepare,
- * and the lead of the switch would be reckoned from how long they took.
+ * Time between two heartbeats while a map is being prepared, milliseconds. Earlier heartbeats were queued behind the orders
+ * to prepare, and the lead of the switch would be computed from their inflated round-trip time.
  */
 const prepareHeartbeatMs = 150;
-/** A hold that is not seen after this time is asked of another rank, milliseconds. */
+/** A hold that no rank reports after this time is ordered at another rank, milliseconds. */
 const holdTimeoutMs = 300;
-/** Versions of one term: a planner does not change a map more often. */
+/** Map versions reserved for one term: more than a planner proposes in its term. */
 const versionsPerTerm = 100_000;
 
 /**
- * Plans and switches the maps of one group, for one term of office. Everything it decides on is read from the ranks,
- * so that the next planner goes on from the same.
+ * Plans and switches the maps of one group, for one term of its planner. It decides only on what the ranks report, so
+ * that the next planner can continue from the same state.
  */
 export class GroupController {
 	private readonly tracker: RankTracker;
 	private readonly timing = new SwitchTiming();
 	private readonly lastOrders = new Map<number, {readonly key: string; readonly at: number}>();
-	/** Outlives an epoch: callers ask for the same after an outage, and the map that a group is formed with fits nobody. */
+	/** Kept across epochs: demand is the same after an outage, and the initial map of a re-formed group does not match it. */
 	private readonly loadEstimator = new LoadEstimator();
 	private proposal: Proposal | undefined;
 	private proposalCount = 0;
 	private lastOrderNumber = 0;
 	private nextPlanAt = 0;
-	private phase: Phase = 'rest';
+	private phase: Phase = 'idle';
 	private phaseSince = 0;
-	/** Whether this planner has armed a rank since it last asked for a hold, and when it did that, milliseconds. */
+	/** Whether this planner has armed a rank since it last ordered a hold. */
 	private hasArmed = false;
+	/** When it last ordered a hold, milliseconds. */
 	private holdOrderedAt = Number.NEGATIVE_INFINITY;
 	private heartbeatSentAt = Number.NEGATIVE_INFINITY;
-	/** Whether a later term has begun, so that this planner may do nothing more. */
+	/** Whether a later term has begun; this planner sends no more orders then. */
 	private isSuperseded = false;
 
 	constructor(private readonly options: ControllerOptions) {
@@ -96,7 +97,7 @@
 		});
 	}
 
-	/** Takes a rank's report. */
+	/** Records a rank's report. */
 	handleReport(message: MessageOf<'rank-status'>, now: number): void {
 		const {report, counts, term} = message;
 		this.isSuperseded ||= term > this.options.term;
@@ -114,7 +115,7 @@
 		}
 	}
 
-	/** Hears what became of an order: what was not taken is decided on anew at once. */
+	/** Records the outcome of an order; an order that was not taken may be sent again at once. */
 	handleOutcome({rank, outcome}: MessageOf<'rank-outcome'>): void {
 		this.timing.recordOrder(outcome !== 'unknown');
 		if (outcome === 'taken') {
@@ -123,16 +124,16 @@
 
 		this.lastOrders.delete(rank);
 		if (outcome === 'refused' && this.phase === 'prepare') {
-			this.dropProposal(`rank ${rank} refused it`);
+			this.dropProposal(`rank ${rank} refused to prepare it`);
 		}
 	}
 
-	/** The group's engines while all of its ranks are heard; undefined otherwise. */
+	/** Returns the group's engines, or undefined while some rank has not reported recently. */
 	getListing(now: number): GroupListing | undefined {
 		return this.tracker.getListing(now);
 	}
 
-	/** Gives the next orders, and plans when the group rests. */
+	/** Sends the next orders, and plans a new map while no switch is in progress. */
 	async tick(now: number): Promise<void> {
 		if (this.isSuperseded) {
 			return;
@@ -155,22 +156,22 @@
 		}
 
 		if (decision.phase === 'prepare' && this.proposal && now - this.proposal.proposedAt > prepareTimeoutMs) {
-			this.dropProposal('it was not prepared in time');
+			this.dropProposal('not all ranks prepared it in time');
 		}
 
-		if (decision.phase === 'rest' && now >= this.nextPlanAt) {
+		if (decision.phase === 'idle' && now >= this.nextPlanAt) {
 			this.nextPlanAt = now + this.options.settings.intervalMs;
 			this.plan(reports, now);
 		}
 	}
 
-	/* The next orders, or none while a rank that may be lost must be heard first. */
+	/* Returns the next orders, or none while a rank that may be lost must report first. */
 	private decide(reports: readonly RankReport[], now: number): ReturnType<typeof decideOrders> {
 		const decision = decideOrders({
 			reports, proposal: this.proposal, holder: this.chooseHolder(reports.length, now), leadSteps: this.timing.getLeadSteps(this.tracker.getMaximumRoundTripMs()),
 		});
 		const areReportsRecent = this.tracker.haveReportedSince(now - maximumReportAgeMs);
-		// A rank that was lost with the hold keeps all held once another is armed: each is heard once more before that.
+		// If a rank is lost during the hold, the group stays held once another is armed: every rank must report again first.
 		const isFirstArming = decision.phase === 'arm' && !this.hasArmed && this.proposal !== undefined;
 		const haveAllReported = !isFirstArming || this.tracker.haveReadSince(this.holdOrderedAt);
 		const mustWait = (decision.phase === 'hold' && !areReportsRecent) || !haveAllReported;
@@ -178,8 +179,8 @@
 	}
 
 	/*
-	 * Another rank than the planner's own: if this VM is lost while the group is held, the process beside the holder
-	 * sees it. And another one if a hold does not take effect.
+	 * Chooses a rank other than the planner's own: if this VM is lost while the group is held, the holder's process notices
+	 * the hold. A further rank is chosen if a hold does not take effect.
 	 */
 	private chooseHolder(size: number, now: number): number {
 		const tries = this.phase === 'hold' ? Math.floor((now - this.phaseSince) / holdTimeoutMs) : 0;
@@ -214,12 +215,12 @@
 		this.proposal = {
 			version: (this.options.term * versionsPerTerm) + this.proposalCount, epoch: this.tracker.epoch, map: plan.map, proposedAt: now, maximumCopies: plan.maximumCopies,
 		};
-		const promise = `${plan.copies} copies, at most ${plan.maximumCopies} a rank, skew ${plan.skewBefore.toFixed(2)} to ${plan.skewAfter.toFixed(2)}`;
-		this.options.log(`group ${this.options.group} epoch ${this.tracker.epoch}: map ${this.proposal.version} proposed, ${promise}`);
+		const expectation = `${plan.copies} copies, at most ${plan.maximumCopies} a rank, skew ${plan.skewBefore.toFixed(2)} to ${plan.skewAfter.toFixed(2)}`;
+		this.options.log(`group ${this.options.group} epoch ${this.tracker.epoch}: map ${this.proposal.version} proposed, ${expectation}`);
 	}
 
 	private sendOrder(rank: number, order: RankOrder, now: number): void {
-		// The step of a hold follows the newest report: each would be another order, refused because of the first.
+		// The step of a hold depends on the newest report; a repeated hold with another step would be refused because of the first.
 		const key = order.type === 'prepare' ? `prepare ${order.version}` : (order.type === 'hold' ? 'hold' : JSON.stringify(order));
 		const last = this.lastOrders.get(rank);
 		const waitMs = order.type === 'prepare' ? prepareRetryMs : orderRetryMs;
@@ -231,7 +232,7 @@
 		this.lastOrderNumber++;
 		this.recordOrder(order, now);
 		const engineAddress = this.tracker.getEngineAddress(rank);
-		// Whoever orders the hold may be lost right after it; were that a rank's VM, the group would wait for it.
+		// The sender of the hold may be lost right after it. If that were a rank's VM, the group would wait for that rank.
 		if (order.type === 'hold' && engineAddress !== undefined && this.options.orderViaEntry(engineAddress, order)) {
 			return;
 		}
@@ -255,7 +256,7 @@
 		this.hasArmed ||= order.type === 'arm';
 	}
 
-	/* Every rank reports at once, so that the wait for their word is short. */
+	/* A heartbeat makes every rank report at once. */
 	private requestReports(now: number): void {
 		this.heartbeatSentAt = now;
 		for (const rank of this.tracker.listRanks()) {
@@ -270,7 +271,7 @@
 		}
 
 		const outcome = await this.options.openEngine(address).order(order);
-		this.options.log(`group ${this.options.group}: order ${order.type} given to rank ${rank} itself: ${outcome}`);
+		this.options.log(`group ${this.options.group}: order ${order.type} sent directly to the engine of rank ${rank}: ${outcome}`);
 	}
 
 	private dropProposal(reason: string): void {
@@ -291,10 +292,10 @@
 			return;
 		}
 
-		if (phase === 'rest' && this.proposal) {
+		if (phase === 'idle' && this.proposal) {
 			this.options.log(`group ${this.options.group}: map ${this.proposal.version} in force after ${Math.round(now - this.proposal.proposedAt)} ms`);
 			this.proposal = undefined;
-		} else if (phase !== 'rest') {
+		} else if (phase !== 'idle') {
 			this.recordCopyTime(phase, now);
 			const lateMs = Math.round(this.tracker.getMaximumRoundTripMs());
 			this.options.log(`group ${this.options.group}: ${this.phase} to ${phase} after ${Math.round(now - this.phaseSince)} ms, reports up to ${lateMs} ms late`);
--- a/src/expert-balance/group-publication.ts
+++ b/src/expert-balance/group-publication.ts
@@ -11,7 +11,7 @@
 	readonly log: (message: string) => void;
 };
 
-/** Writes which engines are the group's into the store: once for each epoch and each change of its ranks. */
+/** Publishes the list of the group's engines in the store: once for each epoch and each change of its ranks. */
 export class GroupPublication {
 	private written = '';
 	private registration: Registration | undefined;
@@ -19,10 +19,10 @@
 	constructor(private readonly options: PublicationOptions) {}
 
 	/**
-	 * Writes what has changed, and keeps it.
+	 * Writes the listing if it has changed, and keeps it registered.
 	 *
-	 * @param listing - the group as it is known now; undefined while not all of its ranks are heard
-	 * @param era - era of the store, as far as known: what was written is written again in a new one
+	 * @param listing - the current listing; undefined while some rank has not reported recently
+	 * @param era - latest known era of the store; the listing is written again in a new era
 	 */
 	tick(listing: GroupListing | undefined, era: number, now: number): void {
 		const value = JSON.stringify(listing);
--- a/src/expert-balance/load-estimator.ts
+++ b/src/expert-balance/load-estimator.ts
@@ -1,22 +1,22 @@
 import {type LayerLoads} from '../maps/layer-loads.js';
 import {type ExpertCounts} from './expert-counts.js';
 
-/** What was chosen by layer and expert, faded with time. */
+/** Choices by layer and expert. */
 type Tally = number[][];
 
 /**
- * Time in which old choices fade to about a third, milliseconds: long enough to average over the prompts of some dozens
- * of requests. That demand has moved on is told by what each rank reported last, not by this.
+ * Time constant of the exponential decay of old choices, milliseconds: long enough to average over the prompts of some
+ * dozens of requests. A shift of demand is detected from the latest report of each rank, not by this decay.
  */
 const decayMs = 2000;
-/** Ranks are heard at different times: what each says must last until it is heard again, and half as long. */
+/** Minimum time constant in report intervals: ranks report at different times, so each report must count until after the next one. */
 const decayIntervals = 1.5;
-/** A rank that was away for long says nothing of how often the others are heard, milliseconds. */
+/** Upper bound of the report interval, milliseconds: a rank that was away for long says nothing about how often the others report. */
 const maximumIntervalMs = 3300;
 /**
- * Share of a layer's choices that must have moved to other experts for the older ones to be forgotten. In a recorded
- * trace of 12 ranks (34 s) the newest choices lay 0.05 to 0.2 from those before while demand stood still, and 0.25 to
- * 0.5 as it shifted; a false alarm costs no more than a plan from fewer requests. Replays with 0.05 to 0.2 gave a mean
+ * Share of a layer's choices that must have moved to other experts for older choices to be discarded. On a recorded
+ * trace of 12 ranks (34 s), consecutive reports differed by 0.05 to 0.2 under steady demand and by 0.25 to 0.5 when it
+ * shifted; a false positive only means a plan from fewer requests. Replays with thresholds from 0.05 to 0.2 gave a mean
  * skew of 1.81, 1.73 (0.08), 1.75 (0.1), 1.76, 1.79 and 1.86 (0.2).
  */
 const shiftThreshold = 0.1;
@@ -45,17 +45,18 @@
 	return moved / 2;
 };
 
-/** How often each expert of a group was chosen lately, from the ranks' running counts. Forgets the past once demand shifts. */
+/** Estimates how often each expert of a group is chosen, from the ranks' cumulative counts. Discards old choices once demand shifts. */
 export class LoadEstimator {
 	private readonly lastCounts = new Map<number, ExpertCounts>();
-	/** What each rank's requests chose between its last two reports. */
+	/** Choices of each rank's requests between its last two reports. */
 	private readonly newestTallies = new Map<number, Tally>();
-	private readonly average: Tally = [];
+	/** Sum of all choices, decayed over time. */
+	private readonly decayedSum: Tally = [];
 	private readonly recordedAt = new Map<number, number>();
 	private decayedAt: number | undefined;
 	private intervalMs = 0;
 
-	/** Takes a rank's counts; those of another epoch, or of an engine that has started again, begin anew. */
+	/** Records a rank's counts. Counting starts over in another epoch, or after the engine has restarted. */
 	record(rank: number, counts: ExpertCounts, now: number): void {
 		this.decay(now);
 		const previous = this.lastCounts.get(rank);
@@ -69,10 +70,10 @@
 		const chosen = counts.chosen.map((experts, layer) =>
 			scaleByRoot(experts.map((count, expert) => Math.max(0, count - (previous.chosen[layer]?.[expert] ?? count)))));
 		this.newestTallies.set(rank, chosen);
-		addTo(this.average, chosen);
+		addTo(this.decayedSum, chosen);
 	}
 
-	/** Recent choices by layer and expert; empty while nothing is known. */
+	/** Returns recent choices by layer and expert; empty before any are known. */
 	getLoads(now: number): LayerLoads {
 		this.decay(now);
 		const sum: Tally = [];
@@ -81,18 +82,18 @@
 		}
 
 		for (const [layer, experts] of sum.entries()) {
-			if (measureShift(this.average[layer], experts) > shiftThreshold) {
-				this.average[layer] = experts;
+			if (measureShift(this.decayedSum[layer], experts) > shiftThreshold) {
+				this.decayedSum[layer] = experts;
 			}
 		}
 
-		return this.average;
+		return this.decayedSum;
 	}
 
 	private decay(now: number): void {
 		const share = Math.exp(((this.decayedAt ?? now) - now) / Math.max(decayMs, decayIntervals * this.intervalMs));
 		this.decayedAt = now;
-		for (const experts of this.average) {
+		for (const experts of this.decayedSum) {
 			for (const expert of experts.keys()) {
 				experts[expert] *= share;
 			}
@@ -101,8 +102,8 @@
 }
 
 /*
- * One long prompt would outweigh many short ones, though its experts are as much a matter of chance: what a rank says
- * at once weighs by the root of its size.
+ * Scales a report to the square root of its size. Otherwise one long prompt would outweigh many short ones, although its
+ * experts are just as random.
  */
 function scaleByRoot(chosen: readonly number[]): number[] {
 	const size = total(chosen);
--- a/src/expert-balance/order-proxy.ts
+++ b/src/expert-balance/order-proxy.ts
@@ -5,27 +5,27 @@
 
 type ProxyOptions = {
 	readonly connect: (address: string) => Promise<LinkConnection>;
-	/** Addresses of the entries; none while they are not known. */
+	/** Addresses of the entries; empty while they are unknown. */
 	readonly listEntries: () => Promise<readonly string[]>;
 	readonly onOutcome: (outcome: MessageOf<'engine-outcome'>['outcome']) => void;
 	readonly random: () => number;
 	readonly log: (message: string) => void;
 };
 
-/** Longest pause between two tries to reach the entry, milliseconds. */
+/** Maximum reconnection delay, milliseconds. */
 const maximumDelayMs = 500;
-/** An entry that has not answered an order within this time is left, milliseconds; it answers within 100. */
+/** An entry that has not answered an order within this time is replaced, milliseconds; it usually answers within 100. */
 const answerTimeoutMs = 200;
-/** Time after which another entry is chosen if the one chosen cannot be reached, milliseconds. */
+/** Time after which another entry is chosen if the current one cannot be reached, milliseconds. */
 const chooseIntervalMs = 1000;
 
 /**
- * Gives orders to engines through an entry, whose VM runs no rank. A VM that is lost right after it has ordered the
- * group to be held would otherwise take its own rank along, and the group would wait for it.
+ * Sends orders to engines through an entry, whose VM runs no rank. If a rank's VM ordered a hold and was lost right
+ * after it, its own rank would be lost as well, and the held group would wait for that rank.
  */
 export class OrderProxy {
 	private link: PersistentLink | undefined;
-	/** The entry that the link leads to, and since when an order to it has stayed unanswered, milliseconds. */
+	/** The entry that the link connects to, and when the oldest unanswered order was sent to it, milliseconds. */
 	private address = '';
 	private unansweredSince: number | undefined;
 	private isChoosing = false;
@@ -34,10 +34,10 @@
 
 	constructor(private readonly options: ProxyOptions) {}
 
-	/** Keeps a link to one of the entries; leaves one that does not answer. */
+	/** Keeps a link to one of the entries; replaces an entry that does not answer. */
 	async tick(now: number): Promise<void> {
 		if (this.unansweredSince !== undefined && now - this.unansweredSince > answerTimeoutMs) {
-			this.options.log(`entry ${this.address} that gives orders does not answer`);
+			this.options.log(`entry ${this.address} does not answer orders; choosing another`);
 			this.close();
 			this.chooseAt = now;
 		}
@@ -60,7 +60,7 @@
 		this.isChoosing = false;
 	}
 
-	/** Has an order given to an engine; false when no entry is in reach. */
+	/** Sends an order for an engine; false if no entry is connected. */
 	sendOrder(engineAddress: string, order: RankOrder, now: number): boolean {
 		this.lastNumber++;
 		const isSent = this.link?.current?.send({
@@ -86,7 +86,7 @@
 			random,
 			maximumDelayMs,
 			onLost(message) {
-				log(`entry ${address} that gives orders is lost: ${message}`);
+				log(`link for orders to entry ${address} lost: ${message}`);
 			},
 			onOpen: connection => {
 				connection.onMessage(message => {
--- a/src/expert-balance/plan-group-map.ts
+++ b/src/expert-balance/plan-group-map.ts
@@ -8,25 +8,25 @@
 	readonly loads: LayerLoads;
 	/** Slots per rank and layer. */
 	readonly slots: number;
-	/** Experts that a change may bring to a rank in one layer. */
+	/** New experts that one change may add to a rank in one layer. */
 	readonly maximumNew: number;
-	/** How many times longer than usual each rank takes. */
+	/** How many times slower than usual each rank is. */
 	readonly paces: readonly number[];
-	/** Least relief that a placed copy must bring, as a share of the mean rank load of its layer. */
+	/** Minimum relief that a placed copy must bring, as a share of the mean rank load of its layer. */
 	readonly leastRelief: number;
-	/** Time that a rank takes to load one copy, and that a switch takes besides, milliseconds. */
+	/** Time that a rank takes to load one copy, and the rest of the time that a switch takes, milliseconds. */
 	readonly copyMs: number;
 	readonly switchMs: number;
-	/** How long a map serves before demand has moved on, milliseconds: what comes later counts for nothing. */
+	/** Time before demand shifts again, milliseconds; savings after it are not counted. */
 	readonly horizonMs: number;
 };
 
 type GroupPlan = {
 	readonly map: ExpertMap;
-	/** Copies that ranks must load: all of them, and the rank with the most. */
+	/** Copies that must be loaded: on all ranks together, and on the rank with the most. */
 	readonly copies: number;
 	readonly maximumCopies: number;
-	/** Time of the most loaded rank by the mean over ranks, over all layers, before and after. */
+	/** Time of the most loaded ranks divided by the mean, over all layers, before and after. */
 	readonly skewBefore: number;
 	readonly skewAfter: number;
 };
@@ -39,10 +39,10 @@
 	readonly peakBefore: number;
 };
 
-/** Copies that each rank loads by the plan, over all layers, and how many it may. */
+/** Copies that each rank loads under the plan, over all layers, and the limit for each rank. */
 type CopyQuota = {readonly used: number[]; limit: number};
 
-/* Free slots hold an expert that nobody chooses, whose number follows the others'. */
+/* Free slots are represented by an extra expert without load, numbered after the others. */
 const isNew = ({present, added, empty}: Omit<Layer, 'search' | 'peakBefore'>, rank: number, expert: number): boolean =>
 	expert !== empty && !present[rank].has(expert) && !added[rank].has(expert);
 
@@ -79,11 +79,11 @@
 });
 
 /**
- * Plans a group's next map from the present one: the placements that relieve the most loaded ranks, the worthiest
- * first, while each brings enough and no rank gets more new experts than its engine takes at once.
+ * Plans a group's next map from the current one. Greedily takes the placements that relieve the most loaded ranks most,
+ * as long as each brings enough relief and no rank gets more new experts than its engine accepts at once.
  *
- * A map is in force only when the rank with the most copies to load has loaded them, so a smaller plan is in force
- * sooner: of the plans with one copy a rank, two, and so on, that is taken which saves most until the horizon.
+ * A map comes into force only when the rank with the most copies has loaded them, so a smaller plan is in force sooner.
+ * Of the plans with at most one copy per rank, two, and so on, the one that saves most time until the horizon is returned.
  */
 export function planGroupMap(options: PlanOptions): GroupPlan {
 	const {paces, maximumNew, leastRelief, copyMs, switchMs, horizonMs} = options;
@@ -112,12 +112,12 @@
 	return best;
 }
 
-/* Every change passes over the search's own stop at rounding errors, so a bound on their number is not needed. */
+/* The loop ends without a limit on the number of changes, since the search returns no change whose gain is a rounding error. */
 function improve(layer: Layer, quota: CopyQuota, leastRelief: number): void {
 	for (let change = layer.search.findBest(); change && change.gain >= leastRelief * change.placements.length; change = layer.search.findBest()) {
-		const fresh = change.placements.filter(({rank, expert}) => isNew(layer, rank, expert));
+		const added = change.placements.filter(({rank, expert}) => isNew(layer, rank, expert));
 		layer.search.apply(change);
-		for (const {rank, expert} of fresh) {
+		for (const {rank, expert} of added) {
 			layer.added[rank].add(expert);
 			quota.used[rank]++;
 		}
--- a/src/expert-balance/planner-election.ts
+++ b/src/expert-balance/planner-election.ts
@@ -5,38 +5,38 @@
 type ElectionOptions = {
 	readonly registry: Registry;
 	readonly key: string;
-	/** Where this process takes links. */
+	/** Address on which this process accepts links. */
 	readonly address: string;
 	readonly random: () => number;
 	readonly log: (message: string) => void;
 };
 
-/** The key of the office as this process knows it. */
+/** The planner key as this process knows it. */
 type ElectionState = {
-	/** Era of the store that the process's view is of. */
+	/** Era of the store that this process's view reflects. */
 	readonly era: number;
-	/** Who is taken to hold the office. */
+	/** The key's value by this process's view: the current planner. */
 	readonly holder: StoredItem | undefined;
-	/** What the store itself holds, which differs for a while after it has come back from a copy. */
+	/** The key's value in the store itself, which differs from the view for a while after the store was restored from a copy. */
 	readonly stored: StoredItem | undefined;
 };
 
 type HeldTerm = {readonly term: number; readonly era: number; readonly lease: string; renewAt: number; reacquireAt: number};
 
-/** Life of the office without renewal, and time between renewals, milliseconds: a dead planner is replaced within it. */
+/** Duration of the planner's lease, and time between renewals, milliseconds. A crashed planner is replaced once its lease has expired. */
 const leaseMs = 2500;
 const renewIntervalMs = 800;
 /**
- * Longest pause before an empty office is sought, milliseconds, so that most hear of the first who took it before they
- * seek it themselves; the first of 16 does so after a twentieth of that.
+ * Maximum random delay before a campaign for a vacant key, milliseconds, so that most processes see the winner before
+ * they campaign themselves; the first of 16 campaigns after about a twentieth of it.
  */
 const maximumCampaignDelayMs = 800;
-/** Pause after a try that failed, milliseconds. */
+/** Delay after a failed attempt, milliseconds. */
 const retryDelayMs = 1000;
 
 /**
- * Seeks and keeps the office of a group's planner, a key under a lease. It only avoids double work: the number of a
- * term, made of the era and revision of the key, is what fences a planner that does not know yet that its term is over.
+ * Leader election for a group's planner, by a key under a lease. The lease only avoids duplicate work: a planner that does
+ * not know yet that its term has ended is fenced off by the number of its term, which is made of the key's era and revision.
  */
 export class PlannerElection {
 	private heldTerm: HeldTerm | undefined;
@@ -45,16 +45,16 @@
 
 	constructor(private readonly options: ElectionOptions) {}
 
-	/** This process's term of office; undefined while it has none. */
+	/** This process's term; undefined while it is not the planner. */
 	get term(): number | undefined {
 		return this.heldTerm?.term;
 	}
 
 	/**
-	 * Keeps, leaves or seeks the office.
+	 * Renews the lease, steps down or campaigns.
 	 *
-	 * @param known - undefined while nothing is known of the office, which is not sought then
-	 * @param isStuck - whether a group is held and the planner in office does not let it go on
+	 * @param known - state of the planner key; undefined while it is unknown, in which case this process does not campaign
+	 * @param isStuck - whether the group is held and the current planner does not release it
 	 */
 	async tick(now: number, known: ElectionState | undefined, isStuck: boolean): Promise<void> {
 		if (this.isBusy || (known === undefined && this.heldTerm === undefined)) {
@@ -67,7 +67,7 @@
 	}
 
 	private async maintain(heldTerm: HeldTerm, now: number, known: ElectionState | undefined): Promise<void> {
-		// A store that has come back from a copy has lost the key, its lease or both, or given them to another.
+		// A store that was restored from a copy may have lost the key or its lease, or have another holder for them.
 		if (known && known.era > heldTerm.era) {
 			await this.reacquire(heldTerm, now, known);
 			return;
@@ -85,9 +85,9 @@
 
 		heldTerm.renewAt = now + renewIntervalMs;
 		const kept = await this.options.registry.keepLease(heldTerm.lease);
-		// While the store does not answer the office is kept: safety does not rest on it.
+		// The term continues while the store does not answer: safety does not depend on the lease.
 		if (kept.isOk() && !kept.value) {
-			this.stepDown('its lease lapsed');
+			this.stepDown('its lease expired');
 		}
 	}
 
@@ -99,18 +99,18 @@
 		heldTerm.reacquireAt = now + retryDelayMs;
 		const outcome = await this.acquire(now, known);
 		if (outcome === 'refused') {
-			this.stepDown(`another has taken the office in era ${known.era} of the store`);
+			this.stepDown(`another planner was elected in era ${known.era} of the store`);
 		}
 	}
 
 	private stepDown(reason: string): void {
-		this.options.log(`planner's term ${this.heldTerm!.term} is over: ${reason}`);
+		this.options.log(`stepped down as planner of term ${this.heldTerm!.term}: ${reason}`);
 		this.heldTerm = undefined;
 		this.campaignAt = undefined;
 	}
 
 	private async campaign(now: number, known: ElectionState, isStuck: boolean): Promise<void> {
-		// Who held the office before this process was started here is gone: the office need not lapse first.
+		// The key holds this process's own address, so its holder was an earlier instance here: no need to wait for the lease to expire.
 		const isOwn = known.holder?.value === this.options.address;
 		if (known.holder && !isStuck && !isOwn) {
 			this.campaignAt = undefined;
@@ -145,7 +145,7 @@
 		this.heldTerm = {
 			term: toTerm(written.value), era: written.value.era, lease: lease.value, renewAt: now + renewIntervalMs, reacquireAt: now,
 		};
-		log(`planner's term ${this.heldTerm.term} begins here`);
+		log(`elected planner, term ${this.heldTerm.term}`);
 		return 'taken';
 	}
 }
--- a/src/expert-balance/planner-link.ts
+++ b/src/expert-balance/planner-link.ts
@@ -3,7 +3,7 @@
 import {PersistentLink} from '../link/persistent-link.js';
 
 type LinkOptions = {
-	/** Where this process takes links itself. */
+	/** Address on which this process accepts links itself. */
 	readonly ownAddress: string;
 	readonly connect: (address: string) => Promise<LinkConnection>;
 	readonly onMessage: (message: LinkMessage) => void;
@@ -13,18 +13,18 @@
 
 type OpenLink = {readonly address: string; readonly link: PersistentLink; receivedAt: number};
 
-/** Longest pause between two tries to reach the planner, milliseconds. */
+/** Maximum reconnection delay, milliseconds. */
 const maximumDelayMs = 500;
-/** A link on which the planner gave no sign of life for so long is opened anew, milliseconds; it gives one a second. */
+/** A link on which nothing was received for this time is reconnected, milliseconds; the planner sends a heartbeat each second. */
 const silenceTimeoutMs = 2500;
 
-/** This process's link to the planner in office, which may change or be this process itself. */
+/** This process's link to the current planner, which may change or be this process itself. */
 export class PlannerLink {
 	private openLink: OpenLink | undefined;
 
 	constructor(private readonly options: LinkOptions) {}
 
-	/** Follows whoever is in office; undefined when nobody is. */
+	/** Connects to the planner at an address; undefined while there is no planner. */
 	follow(address: string | undefined, now: number): void {
 		const wanted = address === this.options.ownAddress ? undefined : address;
 		if (this.openLink && this.openLink.address !== wanted) {
@@ -41,7 +41,7 @@
 		}
 	}
 
-	/** Sends a message to the planner; false when it is not in reach. */
+	/** Sends a message to the planner; false if it is not connected. */
 	send(message: LinkMessage): boolean {
 		return this.openLink?.link.current?.send(message) ?? false;
 	}
--- a/src/expert-balance/planner-server.ts
+++ b/src/expert-balance/planner-server.ts
@@ -10,12 +10,12 @@
 type ServerOptions = {
 	readonly settings: BalanceSettings;
 	readonly clock: () => number;
-	/** Rank beside which this process runs. */
+	/** Rank on whose VM this process runs. */
 	readonly ownRank: () => number;
-	/** Hands a message to the member in this process. */
+	/** Passes a message to the rank agent in this process. */
 	readonly deliverLocal: (message: LinkMessage) => void;
 	readonly openEngine: (address: string) => RankEngine;
-	/** Has an order given to an engine by a VM that runs no rank; false when none is in reach. */
+	/** Sends an order to an engine through an entry, whose VM runs no rank; false if no entry is connected. */
 	readonly orderViaEntry: (engineAddress: string, order: RankOrder) => boolean;
 	readonly listEngines: () => Promise<readonly string[]>;
 	readonly readService: () => Promise<Service | undefined>;
@@ -23,23 +23,23 @@
 	readonly log: (message: string) => void;
 };
 
-/** Reports that arrive within this time are decided on together, milliseconds. */
+/** Reports that arrive within this time are handled in one decision, milliseconds. */
 const batchMs = 10;
-/** Time between two signs of life to each rank, milliseconds. */
+/** Time between two heartbeats to each rank, milliseconds. */
 const heartbeatIntervalMs = 1000;
-/** A planner's term of office for one group. */
+/** A planner's term for one group. */
 type PlannerTerm = {readonly term: number; readonly group: string};
 
-/** Stands for the member in this process among the links. */
-const localLink = 'own';
+/** Stands for the rank agent in this process among the links. */
+const localLink = 'local';
 
-/** The work of a group's planner in office: hears the ranks over their links, and lets a controller plan for them. */
+/** Server side of the links between ranks and their elected planner: passes the ranks' reports to a controller, and its orders back. */
 export class PlannerServer {
-	private planned: PlannerTerm | undefined;
+	private currentTerm: PlannerTerm | undefined;
 	private controller: GroupController | undefined;
 	private service: Service | undefined;
 	private readonly connections = new Map<string, LinkConnection>();
-	/** Link of each rank of the group. */
+	/** Name of the link of each rank of the group. */
 	private readonly links = new Map<number, string>();
 	private timer: NodeJS.Timeout | undefined;
 	private nextHeartbeatAt = 0;
@@ -47,7 +47,7 @@
 
 	constructor(private readonly options: ServerOptions) {}
 
-	/** Takes a link of a rank's process. */
+	/** Accepts a link from a rank's process. */
 	accept(connection: LinkConnection): void {
 		this.acceptedCount++;
 		const name = String(this.acceptedCount);
@@ -58,36 +58,36 @@
 		});
 	}
 
-	/** Takes a message of the member in this process. */
+	/** Handles a message from the rank agent in this process. */
 	receiveLocal(message: LinkMessage): void {
 		this.receive(message, localLink);
 	}
 
 	/**
-	 * Works for a term of office, gives signs of life and orders.
+	 * Starts or ends a term, and sends heartbeats and orders.
 	 *
-	 * @param planned - this process's term, and the group it is for; undefined while it is not in office
+	 * @param currentTerm - this process's term, and the group it is for; undefined while this process is not the planner
 	 */
-	tick(planned: PlannerTerm | undefined, now: number): void {
-		if (planned?.term !== this.planned?.term) {
-			this.planned = planned;
+	tick(currentTerm: PlannerTerm | undefined, now: number): void {
+		if (currentTerm?.term !== this.currentTerm?.term) {
+			this.currentTerm = currentTerm;
 			this.links.clear();
-			this.controller = planned && this.createController(planned);
+			this.controller = currentTerm && this.createController(currentTerm);
 		}
 
-		if (planned === undefined) {
+		if (currentTerm === undefined) {
 			return;
 		}
 
 		if (now >= this.nextHeartbeatAt) {
 			this.nextHeartbeatAt = now + heartbeatIntervalMs;
-			this.sendHeartbeats(planned.term);
+			this.sendHeartbeats(currentTerm.term);
 		}
 
 		this.control();
 	}
 
-	/** The group's engines while this process is in office and hears all of its ranks; undefined otherwise. */
+	/** Returns the group's engines, or undefined while this process is not the planner or some rank has not reported recently. */
 	getListing(now: number): GroupListing | undefined {
 		return this.controller?.getListing(now);
 	}
@@ -97,14 +97,14 @@
 	}
 
 	private receive(message: LinkMessage, name: string): void {
-		if (!this.planned || !this.controller) {
+		if (!this.currentTerm || !this.controller) {
 			return;
 		}
 
-		if (message.type === 'rank-status' && message.report.group === this.planned.group) {
+		if (message.type === 'rank-status' && message.report.group === this.currentTerm.group) {
 			this.links.set(message.report.rank, name);
 			this.controller.handleReport(message, this.options.clock());
-		} else if (message.type === 'rank-outcome' && message.group === this.planned.group) {
+		} else if (message.type === 'rank-outcome' && message.group === this.currentTerm.group) {
 			this.options.onOutcome(message.outcome);
 			this.controller.handleOutcome(message);
 		}
--- a/src/expert-balance/rank-agent.ts
+++ b/src/expert-balance/rank-agent.ts
@@ -10,21 +10,21 @@
 	readonly engine: RankEngine;
 	readonly engineAddress: string;
 	readonly clock: () => number;
-	/** Sends a message to the planner in office; false when there is none in reach. */
+	/** Sends a message to the current planner; false if none is connected. */
 	readonly send: (message: LinkMessage) => boolean;
 	readonly log: (message: string) => void;
 };
 
 /**
- * Time between two reports while the map rests, milliseconds: as often as counts are read, which large groups do less often,
- * but so often that two in a row fall within the time for which a planner takes a report for fresh.
+ * Bounds of the time between two reports while no switch is in progress, milliseconds. Reports are as frequent as readings
+ * of the counts, which are rarer in large groups, but never so rare that one lost report makes the rank's state stale.
  */
 const minimumIdleIntervalMs = 200;
 const maximumIdleIntervalMs = 300;
 /**
- * Time between two reports after an order, and until when it holds, milliseconds: once the group is held each millisecond
- * counts, while copies are loaded and after the release only the end must be seen. Each report is a call of the engine and a
- * message, most of what this process costs.
+ * Time between two reports after an order, and how long after the order it applies, milliseconds. Reports are frequent while
+ * the group is held, since every millisecond of delay counts then; while copies are loaded and after the release, only the
+ * end must be noticed. Each report costs an engine call and a message, which is most of this process's work.
  */
 const intervalsAfterOrder = {
 	prepare: [{untilMs: 500, intervalMs: 80}],
@@ -34,13 +34,13 @@
 } as const;
 
 /**
- * The process beside one rank's engine: reports its state and counts to the planner in office and passes orders on.
- * It hears of planners' terms, and passes on nothing of a term that is over.
+ * Agent for one rank's engine: reports the engine's state and counts to the current planner and forwards the planner's
+ * orders. It tracks the highest known term and rejects orders of earlier terms.
  */
 export class RankAgent {
-	/** The last report, for whoever watches over the planner. */
+	/** The engine's last report. */
 	report: RankReport | undefined;
-	/** When the engine was last seen to hold its group without a planner's order, milliseconds. */
+	/** Since when the engine has held its group at the step of the hold, milliseconds; undefined while it does not. */
 	heldSince: number | undefined;
 
 	private highestTerm = 0;
@@ -49,7 +49,7 @@
 	private idleIntervalMs = minimumIdleIntervalMs;
 	private lastOrder: {readonly type: RankOrder['type']; readonly at: number} | undefined;
 	private placement: RankPlacement | undefined;
-	/** The planner's last sign of life, and when it came in. */
+	/** The planner's last heartbeat, and when it was received. */
 	private heartbeat: {readonly term: number; readonly sentAt: number; readonly receivedAt: number} | undefined;
 	private isUnreachable = false;
 	private queue: Promise<void> = Promise.resolve();
@@ -61,12 +61,12 @@
 		return this.highestTerm;
 	}
 
-	/** Learns of a planner's term, from the store or from the planner itself. */
+	/** Records a planner's term, read from the store or received from the planner. */
 	recordTerm(term: number): void {
 		this.highestTerm = Math.max(this.highestTerm, term);
 	}
 
-	/** Takes a message of a planner. Orders are passed on one after another. */
+	/** Handles a planner's message. Orders are forwarded one at a time. */
 	receive(message: LinkMessage): void {
 		switch (message.type) {
 			case 'rank-term': {
@@ -85,12 +85,12 @@
 		}
 	}
 
-	/** Milliseconds until it is time to report again. */
+	/** Returns the time until the next report is due, milliseconds. */
 	getDelayMs(now: number): number {
 		return Math.max(0, this.nextReportAt - now);
 	}
 
-	/** Reports when it is time. */
+	/** Reports if a report is due. */
 	async tick(now: number): Promise<void> {
 		if (this.isBusy || now < this.nextReportAt) {
 			return;
@@ -115,13 +115,13 @@
 
 	private async forwardOrder({group, term, number, order}: MessageOf<'rank-order'>): Promise<void> {
 		if (group !== this.report?.group) {
-			this.options.log(`order ${order.type} for group ${group} not passed on: the rank is in ${this.report?.group ?? 'none that is known'}`);
+			this.options.log(`order ${order.type} for group ${group} rejected: the rank's group is ${this.report?.group ?? 'unknown'}`);
 			return;
 		}
 
 		this.recordTerm(term);
 		if (term < this.highestTerm) {
-			this.options.log(`order ${order.type} of term ${term} not passed on: term ${this.highestTerm} is in office`);
+			this.options.log(`order ${order.type} of term ${term} rejected: the current term is ${this.highestTerm}`);
 			return;
 		}
 
@@ -129,8 +129,8 @@
 		this.nextReportAt = Math.min(this.nextReportAt, this.lastOrder.at + intervalsAfterOrder[order.type][0].intervalMs);
 		const outcome = await this.options.engine.order(order);
 		if (outcome !== 'taken') {
-			const target = 'step' in order ? `for step ${order.step}` : `of map ${order.version}`;
-			this.options.log(`order ${order.type} ${target} in epoch ${order.epoch}: ${outcome}; step ${this.report?.step ?? -1} at the last report`);
+			const subject = 'step' in order ? `for step ${order.step}` : `of map ${order.version}`;
+			this.options.log(`order ${order.type} ${subject} in epoch ${order.epoch}: ${outcome}; step ${this.report?.step ?? -1} at the last report`);
 		}
 
 		this.options.send({
@@ -164,13 +164,13 @@
 				sign: this.heartbeat && {term: this.heartbeat.term, sentAt: this.heartbeat.sentAt, agoMs: clock() - this.heartbeat.receivedAt},
 				report,
 				counts,
-				// At once, so that the next map is planned from it, and again with counts, for a planner that has just begun.
+				// Sent at once when it changes, since the next map is planned from it, and with each counts for newly elected planners.
 				placement: areCountsDue || hasMapChanged ? this.placement : undefined,
 			});
 			this.isUnreachable = false;
 		} catch (error) {
 			if (!this.isUnreachable) {
-				log(`engine does not report: ${(error as Error).message}`);
+				log(`engine cannot be read: ${(error as Error).message}`);
 			}
 
 			this.isUnreachable = true;
@@ -183,11 +183,11 @@
 		if (this.report && this.report.bornAt !== report.bornAt) {
 			this.placement = undefined;
 			this.nextCountAt = 0;
-			this.options.log(`engine has started again, born ${report.bornAt}`);
+			this.options.log(`engine has restarted, born ${report.bornAt}`);
 		}
 
 		if (this.report && this.report.group !== report.group) {
-			// Terms of another group's planners say nothing of this one's, whose orders name it.
+			// Terms are numbered per group, so the highest term of the former group does not apply; orders name their group.
 			this.highestTerm = 0;
 		}
 
--- a/src/expert-balance/rank-engine.ts
+++ b/src/expert-balance/rank-engine.ts
@@ -4,11 +4,11 @@
 import {type RankPlacement} from './rank-placement.js';
 import {type RankReport} from './rank-report.js';
 
-/** The engine of one rank: what it reports, and the orders that it takes. Readings reject when it does not answer. */
+/** Client of one rank's engine: reads its reports and sends it orders. Reading rejects if the engine does not answer. */
 export type RankEngine = {
 	readReport(): Promise<RankReport>;
 	readCounts(): Promise<ExpertCounts>;
 	readPlacement(): Promise<RankPlacement>;
-	/** Gives an order; `unknown` when no answer says whether it was taken, or will be later. */
+	/** Sends an order; resolves to `unknown` if there is no answer, so that it may have been taken or may be taken later. */
 	order(order: RankOrder): Promise<RankOutcome>;
 };
--- a/src/expert-balance/rank-order.ts
+++ b/src/expert-balance/rank-order.ts
@@ -1,6 +1,6 @@
 import {z} from 'zod';
 
-/* An engine whose group was formed anew since refuses the order: it is out of date. */
+/* The engine refuses an order of an earlier epoch: its group has been re-formed since. */
 const expectation = {epoch: z.int()};
 const map = z.array(z.array(z.array(z.int().min(0))));
 
--- a/src/expert-balance/rank-outcome.ts
+++ b/src/expert-balance/rank-outcome.ts
@@ -1,6 +1,6 @@
 import {z} from 'zod';
 
-/** What became of an order: taken, refused by the engine or the process beside it, or not known. */
+/** Outcome of an order: taken, refused by the engine or the rank's process, or unknown. */
 const RankOutcome = z.enum(['taken', 'refused', 'unknown']);
 type RankOutcome = z.infer<typeof RankOutcome>;
 
--- a/src/expert-balance/rank-placement.ts
+++ b/src/expert-balance/rank-placement.ts
@@ -1,6 +1,6 @@
 import {z} from 'zod';
 
-/** The experts that one rank holds: `experts[layer]`, under a version of the map. */
+/** The experts that one rank holds, `experts[layer]`, under a version of the map. */
 const RankPlacement = z.object({
 	epoch: z.int(),
 	version: z.int(),
--- a/src/expert-balance/rank-process.ts
+++ b/src/expert-balance/rank-process.ts
@@ -17,47 +17,47 @@
 
 type ProcessOptions = {
 	readonly service: string;
-	/** Where this process takes links. */
+	/** Address on which this process accepts links. */
 	readonly ownAddress: string;
-	/** Where the engine of the own rank takes orders. */
+	/** Address on which this rank's engine accepts orders. */
 	readonly engineAddress: string;
 	readonly balance: BalanceSettings;
 	readonly feed: ChangeFeed;
 	readonly registry: Registry;
 	readonly openEngine: (address: string) => RankEngine;
-	/** Addresses of the engines that are registered for a service; none, with a log line, while they cannot be read. */
+	/** Addresses of the engines that are registered for a service; empty, with a log line, if they cannot be read. */
 	readonly listEngines: (service: string) => Promise<readonly string[]>;
-	/** Reads what operators have configured for a service; undefined while it is not known. */
+	/** Reads the operators' configuration of a service; undefined while it is unknown. */
 	readonly readService: (name: string) => Promise<Service | undefined>;
 	/** Opens a link to another process. */
 	readonly connect: (address: string) => Promise<LinkConnection>;
 	readonly clock: () => number;
 	readonly random: () => number;
 	readonly delay: (ms: number) => Promise<void>;
-	/** Told what became of each order that this process planned. */
+	/** Called with the outcome of each order that this process sent as planner. */
 	readonly onOutcome: (outcome: string) => void;
 	readonly log: (message: string) => void;
 };
 
 const entriesPrefix = 'wardswitch/entries/';
-/** Time between two looks at the office and the links, milliseconds. */
+/** Time between two checks of the election and the links, milliseconds. */
 const tickMs = 100;
-/** Least time between two reports of the own rank, milliseconds. */
+/** Minimum time between two reports of this rank, milliseconds. */
 const minimumDelayMs = 10;
-/** Longest wait of one call for changes of the office, milliseconds: a lost planner shows on its link much sooner. */
+/** Maximum wait of one long poll for changes of the planner key, milliseconds; the loss of a planner shows on its link much sooner. */
 const viewWaitMs = 12_000;
-/** Longest pause before a failed call is tried again, milliseconds: nothing is decided on the office while it is away. */
+/** Maximum backoff after a failed call to the store, milliseconds: the election is not acted on while the store is unavailable. */
 const longestPauseMs = 2000;
-/** A group that is held this long at the step it has reached is taken over by another planner, milliseconds. */
+/** After the group has been held for this time at the step of the hold, another planner may take over, milliseconds. */
 const stuckHoldMs = 400;
 
-/** What this process knows of the office of its rank's group, and its own part in it. */
+/** The planner election of this rank's group, and this process's part in it. */
 type GroupElection = {readonly group: string; readonly key: string; readonly view: StoreView; readonly election: PlannerElection; readonly publication: GroupPublication};
 
-/** The tasks of the process beside one rank's engine, whatever their links run over. */
+/** Process of one rank: its agent, its part in the planner election and, when elected, the planner. Independent of the transport of its links. */
 export class RankProcess {
 	readonly agent: RankAgent;
-	/** Undefined until the engine has told its group. */
+	/** Undefined until the engine has reported its group. */
 	private groupElection: GroupElection | undefined;
 	private readonly plannerLink: PlannerLink;
 	private readonly orderProxy: OrderProxy;
@@ -72,22 +72,22 @@
 		this.plannerServer = this.createPlannerServer();
 	}
 
-	/** Whether this process is in office. */
+	/** Whether this process is the elected planner. */
 	get isPlanner(): boolean {
 		return this.groupElection?.election.term !== undefined;
 	}
 
-	/** This process's view of the office; undefined until the engine has told its group. */
+	/** This process's view of the planner key; undefined until the engine has reported its group. */
 	get view(): StoreView | undefined {
 		return this.groupElection?.view;
 	}
 
-	/** Takes a link that another process has opened. */
+	/** Accepts a link that another process has opened. */
 	accept(connection: LinkConnection): void {
 		this.plannerServer.accept(connection);
 	}
 
-	/** Begins to report, to follow the office and to seek it when it is empty. */
+	/** Starts to report, to follow the current planner and to campaign when there is none. */
 	start(): void {
 		this.timer = setInterval(() => {
 			this.tick();
@@ -104,7 +104,7 @@
 		this.plannerServer.close();
 	}
 
-	/* A rank that the platform has put into another group leaves the office of the one before: its lease lapses. */
+	/* If the platform has moved the rank to another group, the election of the former group is left; a lease held there expires. */
 	private updateGroup(): void {
 		const group = this.agent.report?.group;
 		if (group === undefined || group === this.groupElection?.group) {
--- a/src/expert-balance/rank-report.ts
+++ b/src/expert-balance/rank-report.ts
@@ -1,27 +1,27 @@
 import {z} from 'zod';
 
-/** The state of one rank of a group that runs in lock-step, as its engine reports it. */
+/** State of one rank of a lock-step group, as its engine reports it. */
 const RankReport = z.object({
 	/** Name of the group. */
 	group: z.string(),
-	/** Grows each time the group is formed anew; maps and holds do not outlive it. */
+	/** Increases each time the group is re-formed; maps and holds do not survive that. */
 	epoch: z.int(),
 	rank: z.int().min(0),
-	/** When the engine was started, Unix milliseconds: one that starts again knows nothing of before. Absent where engines do not tell. */
+	/** When the engine was started, Unix milliseconds; a restarted engine has lost its state. Absent if the engine does not report it. */
 	bornAt: z.int().optional(),
-	/** Ranks of the group. */
+	/** Number of ranks in the group. */
 	size: z.int().min(1),
-	/** Whether the group runs. */
+	/** Whether the group is running. */
 	isOpen: z.boolean(),
-	/** Last pass that was begun. */
+	/** Last pass that was started. */
 	step: z.int(),
-	/** Version of the map in use; 0 is the one that a group starts with. */
+	/** Version of the map in use; 0 is the group's initial map. */
 	mapVersion: z.int(),
-	/** Version of the map whose experts are all copied and which is not in use yet. */
+	/** Version of a map that is fully loaded but not in use yet. */
 	preparedVersion: z.int().optional(),
-	/** Map to which the rank switches as a pass begins. */
+	/** Map to which the rank switches when the given pass starts. */
 	armed: z.object({version: z.int(), step: z.int()}).optional(),
-	/** Pass that the group does not begin before it is released at this rank. */
+	/** Pass that the group does not start until this rank is released. */
 	heldStep: z.int().optional(),
 	/** How many times slower than usual the rank is. */
 	pace: z.number(),
--- a/src/expert-balance/rank-tracker.ts
+++ b/src/expert-balance/rank-tracker.ts
@@ -7,45 +7,45 @@
 
 type TrackerOptions = {
 	readonly group: string;
-	/** The planner's term: what was reported under an earlier one does not count. */
+	/** The planner's term; reports of earlier terms are ignored. */
 	readonly term: number;
-	/** Reaches a rank's engine itself, when the process beside it is lost. */
+	/** Connects directly to a rank's engine, for ranks whose process is lost. */
 	readonly openEngine: (address: string) => RankEngine;
-	/** Addresses of all engines that are registered for the service; none while they are not known. */
+	/** Addresses of all engines that are registered for the service; empty while they are unknown. */
 	readonly listEngines: () => Promise<readonly string[]>;
-	/** Told of passes that began, and the time they took, milliseconds. */
+	/** Called with the number of passes that were started, and the time they took, milliseconds. */
 	readonly onPasses: (steps: number, ms: number) => void;
 	readonly log: (message: string) => void;
 };
 
 type TrackedRank = {
 	report: RankReport;
-	/** When the report came in, and since when it was read at the earliest, milliseconds: it may have queued on its way. */
+	/** When the report was received, and the earliest time at which it can have been read, milliseconds: it may have been queued on its way. */
 	receivedAt: number;
 	readAt: number;
-	/** When the process beside the rank was heard last; a report may also be read without it. */
+	/** When the rank's process last sent a report, milliseconds; reports can also be read directly from the engine. */
 	processReceivedAt: number;
 	term: number;
 	engineAddress: string;
 	placement: RankPlacement | undefined;
-	/** How long a sign of life and the report took to the rank's process and back, milliseconds. */
+	/** Round-trip time of a heartbeat to the rank's process and its report back, milliseconds. */
 	roundTripMs: number;
 };
 
-/** A report older than this is not decided on, milliseconds; in a switch ranks report every 40. */
+/** Older reports are stale and not used for decisions, milliseconds; ranks report every 40 during a switch. */
 const maximumReportAgeMs = 600;
-/** A rank whose process was not heard for so long is read and ordered without it while the group is held, milliseconds. */
+/** A rank whose process has not reported for this time is read and ordered directly while the group is held, milliseconds. */
 const processTimeoutMs = 350;
-/** Time after which a group that begins no pass, and whose ranks are not all heard, is looked into, milliseconds. */
+/** If a group starts no pass for this time and not all its ranks have reported, missing ranks are searched for, milliseconds. */
 const stallTimeoutMs = 300;
-/** Time between two readings of ranks that no process reports for, milliseconds. */
+/** Time between two searches for missing ranks, milliseconds. */
 const searchIntervalMs = 500;
-/** An engine that said that it is in another group is not read again within this time, milliseconds: each reading from afar has its price. */
+/** An engine of another group is not read again within this time, milliseconds: each read over the network has a cost. */
 const foreignRetryMs = 10_000;
 
-/** What a planner knows of the ranks of one group in its present epoch, and how old that is. */
+/** Tracks the latest reports of the ranks of one group in its current epoch, and their age. */
 export class RankTracker {
-	/** Grows each time the group is formed anew; -1 before anything was heard. */
+	/** Increases each time the group is re-formed; -1 before the first report. */
 	epoch = -1;
 
 	private readonly ranks = new Map<number, TrackedRank>();
@@ -53,36 +53,36 @@
 	private stepSince = 0;
 	private nextSearchAt = 0;
 	private readonly pendingReads = new Set<string>();
-	/** Engines of other groups, and when they said so. */
+	/** Engines of other groups, and when they were read. */
 	private readonly foreign = new Map<string, number>();
-	/** Engines that did not answer when they were read last. */
+	/** Engines whose last read failed. */
 	private readonly unreachable = new Set<string>();
 
 	constructor(private readonly options: TrackerOptions) {}
 
-	/** Takes a rank's report; gives whether it begins another epoch, or another life of the engine. */
+	/** Records a rank's report; returns whether it is the first of a new epoch or after a restart of the engine. */
 	recordReport({report, placement, term, engineAddress, sign}: MessageOf<'rank-status'>, now: number): boolean {
 		const known = this.ranks.get(report.rank);
 		if (known && (report.bornAt ?? 0) < (known.report.bornAt ?? 0)) {
-			// What an engine said in its former life has come in late.
+			// A late report from before the engine's restart.
 			return false;
 		}
 
-		// An engine that has started again holds nothing of what it reported before.
+		// A restarted engine has lost the state that it reported before.
 		const hasRestarted = known !== undefined && known.report.bornAt !== report.bornAt;
-		// A sign of another term was another planner's, by another clock.
-		const wayMs = sign?.term === this.options.term ? now - sign.sentAt - sign.agoMs : 0;
+		// A heartbeat of another term was stamped by another planner's clock.
+		const roundTripMs = sign?.term === this.options.term ? now - sign.sentAt - sign.agoMs : 0;
 		this.ranks.set(report.rank, {
 			report,
 			receivedAt: now,
-			readAt: now - wayMs,
+			readAt: now - roundTripMs,
 			processReceivedAt: now,
 			term,
 			engineAddress,
 			placement: placement ?? (hasRestarted ? undefined : known?.placement),
-			roundTripMs: wayMs,
+			roundTripMs,
 		});
-		// Where all engines have started again, epochs may have begun anew as well.
+		// If all engines have restarted, epochs may start over as well.
 		const isReset = report.epoch > this.epoch || hasRestarted;
 		if (isReset) {
 			this.epoch = report.epoch;
@@ -93,23 +93,23 @@
 		return isReset;
 	}
 
-	/** Ranks that have ever been heard. */
+	/** Returns all ranks that have ever reported. */
 	listRanks(): number[] {
 		return [...this.ranks.keys()];
 	}
 
-	/** The group's engines while all ranks of an open group are heard; undefined otherwise. */
+	/** Returns the group's engines, or undefined unless the group is open and all reports are recent. */
 	getListing(now: number): GroupListing | undefined {
 		const reports = this.getReports(now);
 		return reports && {epoch: this.epoch, engines: reports.map(({rank}) => this.ranks.get(rank)!.engineAddress)};
 	}
 
-	/** Where a rank's engine takes orders. */
+	/** Returns the address on which a rank's engine accepts orders. */
 	getEngineAddress(rank: number): string | undefined {
 		return this.ranks.get(rank)?.engineAddress;
 	}
 
-	/** The reports of all ranks of an open group, all fresh and of this term; undefined otherwise. */
+	/** Returns the reports of all ranks, or undefined unless the group is open and all reports are recent and of this term. */
 	getReports(now: number): RankReport[] | undefined {
 		const current = this.listCurrent().filter(({readAt, term}) => now - readAt < maximumReportAgeMs && term >= this.options.term);
 		const size = current.at(0)?.report.size;
@@ -117,27 +117,27 @@
 		return isComplete ? current.map(({report}) => report).toSorted((one, other) => one.rank - other.rank) : undefined;
 	}
 
-	/** Whether the processes beside all ranks were heard after a moment. */
+	/** Whether the processes of all ranks have reported after a moment. */
 	haveReportedSince(moment: number): boolean {
-		return this.listCurrent().every(({processReceivedAt: processHeardAt}) => processHeardAt > moment);
+		return this.listCurrent().every(({processReceivedAt}) => processReceivedAt > moment);
 	}
 
-	/** Whether what the processes beside all ranks said last was read after a moment. */
+	/** Whether the last reports from all ranks' processes were read from the engines after a moment. */
 	haveReadSince(moment: number): boolean {
-		return this.listCurrent().every(({processReceivedAt: processHeardAt, roundTripMs: wayMs}) => processHeardAt - wayMs > moment);
+		return this.listCurrent().every(({processReceivedAt, roundTripMs}) => processReceivedAt - roundTripMs > moment);
 	}
 
-	/** Longest time that the last sign of life and report took to a rank and back, milliseconds. */
+	/** Returns the longest round-trip time of the last heartbeat and report over all ranks, milliseconds. */
 	getMaximumRoundTripMs(): number {
-		return Math.max(0, ...this.listCurrent().map(({roundTripMs: wayMs}) => wayMs));
+		return Math.max(0, ...this.listCurrent().map(({roundTripMs}) => roundTripMs));
 	}
 
-	/** Whether the process beside a rank is taken for lost. */
+	/** Whether a rank's process is considered lost. */
 	isLost(rank: number, now: number): boolean {
 		return now - (this.ranks.get(rank)?.processReceivedAt ?? 0) > processTimeoutMs;
 	}
 
-	/** The map in use, put together from all ranks; undefined while they differ or one is not known. */
+	/** Returns the map in use, assembled from all ranks' placements; undefined while versions differ or one is unknown. */
 	getMap(reports: readonly RankReport[]): ExpertMap | undefined {
 		const placements = reports.map(({rank}) => this.ranks.get(rank)?.placement);
 		const version = reports[0].mapVersion;
@@ -148,13 +148,13 @@
 		return placements[0]!.experts.map((_experts, layer) => placements.map(placement => placement!.experts[layer]));
 	}
 
-	/** Reads ranks whose processes are lost themselves, while the group is held or stands still, so that it gets on. */
+	/** Reads the engines of ranks whose process is lost directly, while the group is held or stalled, so that it can continue. */
 	async readLostRanks(now: number): Promise<void> {
 		const current = this.listCurrent();
 		await this.search(current, now);
 		const isSwitching = current.some(({report}) => report.heldStep !== undefined || report.armed !== undefined);
 		if (isSwitching) {
-			const lost = current.filter(({receivedAt: heardAt}) => now - heardAt > processTimeoutMs);
+			const lost = current.filter(({receivedAt}) => now - receivedAt > processTimeoutMs);
 			await Promise.all(lost.map(async ({engineAddress}) => this.read(engineAddress, now)));
 		}
 	}
@@ -176,7 +176,7 @@
 		this.stepSince = now;
 	}
 
-	/* A rank that no process has reported for to this planner may be the one that holds the group. */
+	/* A rank that has not reported to this planner may be the one that holds the group. */
 	private async search(current: readonly TrackedRank[], now: number): Promise<void> {
 		const size = current.at(0)?.report.size ?? 0;
 		const isStalled = now - this.stepSince > stallTimeoutMs && current.length < size;
@@ -188,8 +188,8 @@
 		const known = new Set(current.map(({engineAddress}) => engineAddress));
 		const addresses = await this.options.listEngines();
 		const isForeign = (address: string): boolean => now - (this.foreign.get(address) ?? Number.NEGATIVE_INFINITY) < foreignRetryMs;
-		const sought = addresses.filter(address => !known.has(address) && !isForeign(address));
-		await Promise.all(sought.map(async address => this.read(address, now)));
+		const unknown = addresses.filter(address => !known.has(address) && !isForeign(address));
+		await Promise.all(unknown.map(async address => this.read(address, now)));
 	}
 
 	private async read(engineAddress: string, now: number): Promise<void> {
--- a/src/expert-balance/start-rank-process.ts
+++ b/src/expert-balance/start-rank-process.ts
@@ -16,9 +16,9 @@
 	readonly feed: ChangeFeed;
 	readonly registry: Registry;
 	readonly openEngine: (address: string) => RankEngine;
-	/** Addresses of the engines that are registered for a service; none, with a log line, while they cannot be read. */
+	/** Addresses of the engines that are registered for a service; empty, with a log line, if they cannot be read. */
 	readonly listEngines: (service: string) => Promise<readonly string[]>;
-	/** Reads what operators have configured for a service; undefined while it is not known. */
+	/** Reads the operators' configuration of a service; undefined while it is unknown. */
 	readonly readService: (name: string) => Promise<Service | undefined>;
 	readonly clock: () => number;
 	readonly random: () => number;
@@ -37,7 +37,7 @@
 
 const linkTimeoutMs = 1000;
 
-/** Starts the process beside one rank's engine: its tasks, and the sockets that they use. */
+/** Starts the process of one rank, with its sockets. */
 export async function startRankProcess(settings: RankSettings, dependencies: Dependencies): Promise<RunningRankProcess> {
 	const {address, linkPort} = settings;
 	const metrics = new RankMetrics();
@@ -69,7 +69,7 @@
 			rankProcess.accept(connection);
 		},
 		onRejection(reason) {
-			log(`peer turned away: ${reason}`);
+			log(`link from peer rejected: ${reason}`);
 		},
 	});
 	const admin = await startAdminServer({
@@ -84,7 +84,7 @@
 		},
 	});
 	rankProcess.start();
-	log(`started beside ${engineAddress}`);
+	log(`started for engine ${engineAddress}`);
 	let finish: () => void;
 	const stopped = new Promise<void>(resolve => {
 		finish = resolve;
--- a/src/expert-balance/to-term.ts
+++ b/src/expert-balance/to-term.ts
@@ -1,10 +1,10 @@
 import {type Revision} from '../key-value/revision.js';
 
-/** More revisions than a store loses when it comes back from a copy of some seconds or minutes before. */
+/** More revisions than a store loses when it is restored from a copy that is some seconds or minutes old. */
 const revisionsPerEra = 1_000_000;
 
 /**
- * Number of the planner's term that begins with a revision of its key. It is unique and rises with the era, although revisions are given
- * out again, so that it fences planners across a store that comes back from an older copy.
+ * Returns the number of the planner's term that begins with a revision of the planner key. Numbers are unique and increase
+ * with the era, although a store that was restored from an older copy reuses revisions, so they fence planners across it.
  */
 export const toTerm = ({era, number}: Revision): number => (era * revisionsPerEra) + number;
--- a/src/map-switch/create-engine-client.ts
+++ b/src/map-switch/create-engine-client.ts
@@ -3,12 +3,13 @@
 import {EngineMapState} from './engine-map-state.js';
 import {type EngineClient} from './engine-client.js';
 
+/** Time within which an engine must answer, milliseconds; staging takes longer, since weights are loaded. */
 const timeoutMs = 5000;
 const stageTimeoutMs = 120_000;
 const takenStatus = 200;
 const refusedStatus = 409;
 
-/** Gives an engine its orders over HTTP: `GET /maps`, `POST /maps/stage`, `/maps/prepare`, `/maps/decide`. */
+/** Creates an HTTP client for an engine's map orders: `GET /maps`, `POST /maps/stage`, `/maps/prepare`, `/maps/decide`. */
 export function createEngineClient(url: string): EngineClient {
 	const order = async (name: string, body: unknown, answerMs: number): Promise<boolean> => {
 		const answer = await request(`${url}/maps/${name}`, {
@@ -19,7 +20,7 @@
 		});
 		await answer.body.dump();
 		if (answer.statusCode !== takenStatus && answer.statusCode !== refusedStatus) {
-			throw new Error(`engine answered ${answer.statusCode} to ${name}`);
+			throw new Error(`engine answered status ${answer.statusCode} to order ${name}`);
 		}
 
 		return answer.statusCode === takenStatus;
--- a/src/map-switch/group-member.ts
+++ b/src/map-switch/group-member.ts
@@ -27,6 +27,7 @@
 
 type Send = (message: LinkMessage) => boolean;
 
+/** Time between two ticks, and between two checks that the platform has recorded the map in use, milliseconds. */
 const tickMs = 100;
 const recordIntervalMs = 5000;
 const expertLoads = z.object({
@@ -35,7 +36,7 @@
 	loads: z.array(z.array(z.number())),
 });
 
-/** A target process as a member of a group of ranks: its part in map switches, and at rank 0 the lead of them. */
+/** A target process as a member of a group of ranks: participates in map switches and, at rank 0, coordinates them. */
 export class GroupMember {
 	private readonly group: string;
 	private readonly rank: number;
@@ -46,7 +47,7 @@
 	private nextListAt = 0;
 	private nextRecordAt = 0;
 	private readonly timer: NodeJS.Timeout;
-	/** Epoch that the platform is known to have recorded. */
+	/** Highest epoch that the platform is known to have recorded. */
 	private recordedEpoch = 0;
 
 	constructor(private readonly options: MemberOptions) {
@@ -90,7 +91,7 @@
 		}, tickMs);
 	}
 
-	/** Takes a message about maps; others are left alone. */
+	/** Handles messages about maps and ignores all others. */
 	receive(message: LinkMessage, send: Send): void {
 		switch (message.type) {
 			case 'map-stage':
@@ -174,11 +175,11 @@
 			const loads = await this.readLoads();
 			send({type: 'map-loads', group: this.group, ...loads} satisfies MessageOf<'map-loads'>);
 		} catch (error) {
-			this.options.log(`expert loads not read: ${(error as Error).message}`);
+			this.options.log(`expert loads cannot be read: ${(error as Error).message}`);
 		}
 	}
 
-	/* The platform is told of the map in use until it is known to have it, however long it was away. */
+	/* Retries until the platform is known to have recorded the map in use, however long it was unavailable. */
 	private async record(): Promise<void> {
 		try {
 			const {epoch, map} = await this.readLoads();
@@ -201,7 +202,7 @@
 
 			this.recordedEpoch = epoch;
 		} catch (error) {
-			this.options.log(`map not recorded: ${(error as Error).message}`);
+			this.options.log(`map in use cannot be recorded: ${(error as Error).message}`);
 		}
 	}
 }
--- a/src/map-switch/group-planner.ts
+++ b/src/map-switch/group-planner.ts
@@ -12,24 +12,25 @@
 	readonly keyValue: KeyValue;
 	/** Weights of the group's row in the table. */
 	readonly getWeights: () => MapWeights;
-	/** Sends a message to rank 0's target process; false when it cannot be reached now. */
+	/** Sends a message to rank 0's target process; false if it is not connected. */
 	readonly send: (message: LinkMessage) => boolean;
 	readonly log: (message: string) => void;
-	/** Time between two looks at the loads, milliseconds. */
+	/** Time between two requests for the loads, milliseconds. */
 	readonly intervalMs: number;
 };
 
 type HeldLease = {readonly lease: string; renewAt: number; expiresAt: number};
 
+/** Duration of the planner's lease, seconds, and time between renewals, milliseconds. */
 const leaseSeconds = 10;
 const renewIntervalMs = 3000;
 
 /**
- * Plans the maps of one group, at the entry that holds the group's lease. The lease only keeps two entries from
- * doing the same work: what a planner that lost it proposes is refused by its fencing number.
+ * Plans the maps of one group, at the entry that holds the group's lease. The lease only avoids duplicate work: a
+ * proposal of a planner that has lost it is refused because of its fencing number.
  */
 export class GroupPlanner {
-	/** Why the map was last changed or left, for `explain`. */
+	/** Why the map was last changed or kept, for `explain`. */
 	lastDecision = 'no loads seen yet';
 
 	private planner: {readonly shape: string; readonly weights: string; readonly planner: MapPlanner} | undefined;
@@ -44,7 +45,7 @@
 		return this.heldLease !== undefined && now < this.heldLease.expiresAt;
 	}
 
-	/** Takes or keeps the lease, and asks for loads when it is time. */
+	/** Acquires or renews the lease, and requests the loads when they are due. */
 	async tick(now: number): Promise<void> {
 		if (this.isBusy) {
 			return;
@@ -59,7 +60,7 @@
 		}
 	}
 
-	/** Takes the loads that rank 0 reported, and proposes another map if that pays. */
+	/** Handles the loads that rank 0 reported; proposes another map if its gain exceeds its cost. */
 	async handleLoads(report: MessageOf<'map-loads'>, now: number): Promise<void> {
 		if (!this.isHolder(now)) {
 			return;
--- a/src/map-switch/map-coordinator.ts
+++ b/src/map-switch/map-coordinator.ts
@@ -7,15 +7,15 @@
 
 type CoordinatorOptions = {
 	readonly ranks: number;
-	/** Orders to rank 0's own engine, which keeps the decision while this process is replaced. */
+	/** Rank 0's own engine, which keeps the decision when this process restarts. */
 	readonly engine: EngineClient;
 	/** Sends a message to a rank's target process; rank 0's is this one. */
 	readonly send: (rank: number, message: LinkMessage) => void;
-	/** Highest fencing number that the platform names for the group; rejects while that is not known. */
+	/** Highest fencing number that the platform has stored for the group; rejects while it cannot be read. */
 	readonly readFence: () => Promise<number>;
-	/** Whether the engine keeps fencing numbers; if not, the platform is asked after a restart. */
+	/** Whether the engine keeps fencing numbers; if not, the platform's is read after a restart. */
 	readonly checksFencing: boolean;
-	/** Called when a map came into force for the whole group. */
+	/** Called when a switch is committed. */
 	readonly onCommit: (epoch: number, fence: number) => void;
 	readonly log: (message: string) => void;
 };
@@ -29,17 +29,18 @@
 	preparing: state(transition('decided', 'idle'), transition('abandon', 'idle')),
 });
 
-/** Steps between the last vote on staging and the switch: time for the promise to reach all ranks. */
+/** Steps between the last vote on staging and the switch: time for the order to prepare to reach all ranks. */
 const leadSteps = 20;
-/** Longest wait for the weights of all ranks, and for their promises, milliseconds. */
+/** Maximum time for all ranks to stage the weights, and to prepare, milliseconds. */
 const stageTimeoutMs = 120_000;
 const prepareTimeoutMs = 5000;
-/** Time after which an order that was not answered is sent again, milliseconds. */
+/** Time after which an unanswered order is sent again, milliseconds. */
 const retryIntervalMs = 500;
 
 /**
- * Leads map switches at rank 0's target process. Its decision is final; rank 0's engine is told first and so keeps
- * it. A group in lock-step stops anyway when rank 0 is lost, so waiting for its word costs nothing more.
+ * Coordinates map switches at rank 0's target process by two-phase commit. Its decision is final, and rank 0's engine
+ * receives it first and so persists it. A lock-step group stops when rank 0 is lost in any case, so waiting for its
+ * decision costs nothing more.
  *
  * @see https://doi.org/10.1007/3-540-08755-9_9 two-phase commit
  */
@@ -52,7 +53,7 @@
 	private switchStep = 0;
 	private phaseSince = 0;
 	private sentAt = 0;
-	/** The last decision: what ranks that ask are told. */
+	/** The last decision, for ranks that ask for it. */
 	private decided: Omit<MessageOf<'map-decision'>, 'type'> | undefined;
 	private queue: Promise<void> = Promise.resolve();
 
@@ -62,7 +63,7 @@
 		return this.service.machine.current;
 	}
 
-	/** Takes a proposal of a planner, a vote or a question of a rank; handled one after another. */
+	/** Handles a planner's proposal, or a rank's vote or question; messages are handled one at a time. */
 	async receive(message: LinkMessage, now: number): Promise<void> {
 		const handled = this.queue.then(async () => this.handle(message, now));
 		this.queue = handled.catch((error: unknown) => {
@@ -71,7 +72,7 @@
 		await this.queue;
 	}
 
-	/** Repeats orders that were not answered, and abandons a switch that takes too long. */
+	/** Repeats unanswered orders, and aborts a switch that takes too long. */
 	async tick(now: number): Promise<void> {
 		const limitMs = this.state === 'staging' ? stageTimeoutMs : prepareTimeoutMs;
 		if (!this.proposal || this.state === 'idle') {
@@ -79,7 +80,7 @@
 		}
 
 		if (now - this.phaseSince > limitMs) {
-			await this.abandon('not every rank answered in time');
+			await this.abandon('not all ranks answered in time');
 		} else if (now - this.sentAt > retryIntervalMs) {
 			this.sendOrders(now);
 		}
@@ -115,7 +116,7 @@
 		}
 	}
 
-	/* A promise of rank 0's engine that this process cannot remember was never turned into a decision for others. */
+	/* If rank 0's engine is still held after a restart of this process, no decision was sent to other ranks: the switch is aborted. */
 	private async recover(): Promise<void> {
 		const engine = await this.options.engine.read();
 		this.fence = engine.fence;
@@ -135,16 +136,16 @@
 
 	private async propose(proposal: Proposal, now: number): Promise<void> {
 		if (!this.isFenceKnown) {
-			// The number that the platform names may be that of this very proposal; only lower ones are old.
+			// The platform's number may be that of this proposal itself; only lower ones are stale.
 			this.fence = Math.max(this.fence, await this.options.readFence() - 1);
 			this.isFenceKnown = true;
 		}
 
 		const {epoch, switchStep} = await this.options.engine.read();
-		// A decision that is not yet in use is final as well: no other map may take its place.
+		// A committed map that is not in use yet cannot be replaced by another one.
 		const isFree = this.state === 'idle' && switchStep === undefined;
 		if (!isFree || proposal.fence <= this.fence || proposal.epoch !== epoch + 1) {
-			this.options.log(`proposal ${proposal.fence} for epoch ${proposal.epoch} not taken in epoch ${epoch}`);
+			this.options.log(`proposal ${proposal.fence} for epoch ${proposal.epoch} rejected in epoch ${epoch}`);
 			return;
 		}
 
@@ -198,7 +199,7 @@
 			this.service.send('staged');
 			this.enterPhase(now);
 		} else {
-			await this.decide('commit', 'every rank has promised');
+			await this.decide('commit', 'all ranks are prepared');
 		}
 	}
 
@@ -229,7 +230,7 @@
 		}
 	}
 
-	/* Nobody else is told before rank 0's engine is known to have it; a lost answer is settled by reading back. */
+	/* No other rank receives the decision before rank 0's engine is known to have it. If the answer is lost, the engine's state is read back. */
 	private async decideAtOwnEngine(order: MessageOf<'map-decision'>): Promise<void> {
 		try {
 			await this.options.engine.decide(order);
@@ -249,10 +250,10 @@
 			return;
 		}
 
-		// The epoch is enough, since processes that lost their memory may not know the fencing number: a rank that has
-		// promised takes no other map, so no proposal for that epoch but the promised one can have been committed.
+		// Compared by epoch only, since a restarted process may not know the fencing number. A prepared rank takes no
+		// other map, so only the proposal that it prepared can have been committed for that epoch.
 		const isCommitted = this.decided?.epoch === epoch && this.decided.decision === 'commit';
-		// Any other promise belongs to a switch that was abandoned or never decided.
+		// Otherwise the rank prepared for a switch that was aborted or never decided.
 		this.options.send(rank, isCommitted
 			? {type: 'map-decision', ...this.decided!, fence}
 			: {
--- a/src/map-switch/map-participant.ts
+++ b/src/map-switch/map-participant.ts
@@ -10,26 +10,26 @@
 	readonly engine: EngineClient;
 	/** Sends a message to the coordinator, at rank 0's target process. */
 	readonly send: (message: LinkMessage) => void;
-	/** Highest fencing number that the platform names for the group; rejects while that is not known. */
+	/** Highest fencing number that the platform has stored for the group; rejects while it cannot be read. */
 	readonly readFence: () => Promise<number>;
-	/** Whether the engine itself refuses old fencing numbers; if not, the platform is asked after a restart. */
+	/** Whether the engine itself refuses stale fencing numbers; if not, the platform's is read after a restart. */
 	readonly checksFencing: boolean;
 };
 
 const machine = createMachine('unread', {
-	/* Nothing is remembered yet; no order is given to the engine before its state was read back. */
+	/* State after a restart: the engine's state is read back before any order is sent to it. */
 	unread: state(transition('idle', 'idle'), transition('held', 'prepared')),
 	idle: state(transition('stage', 'staged'), transition('forget', 'unread')),
 	staged: state(transition('stage', 'staged'), transition('held', 'prepared'), transition('over', 'idle'), transition('forget', 'unread')),
 	prepared: state(transition('over', 'idle'), transition('forget', 'unread')),
 });
 
-/** Time between questions to the coordinator while a decision is awaited, milliseconds. */
+/** Time between two questions to the coordinator while its decision is awaited, milliseconds. */
 const questionIntervalMs = 200;
 
 /**
- * One rank's part in a map switch. Once it has voted for a step, its engine does not pass that step before the
- * coordinator's decision is known; until then it asks again and again.
+ * One rank's participant in a map switch. Once it has voted to prepare for a step, its engine does not run that step before
+ * the coordinator's decision is known; until then the participant repeats its question.
  */
 export class MapParticipant {
 	private readonly service = interpret(machine, () => undefined);
@@ -45,14 +45,14 @@
 		return this.service.machine.current;
 	}
 
-	/** Reads back what the engine and the platform know; a restarted process takes no order before that. */
+	/** Restores its state from the engine and the platform; a restarted process accepts no orders before that. */
 	async recover(): Promise<void> {
 		const engine = await this.options.engine.read();
 		this.epoch = engine.stagedEpoch ?? engine.epoch;
 		this.fence = Math.max(this.fence, engine.fence);
 		this.isFenceKnown ||= this.options.checksFencing;
 		if (engine.holdStep !== undefined) {
-			// The group waits for this rank: it asks at once, with whatever fencing number it knows.
+			// The group waits for this rank, so it asks for the decision at once, with the fencing number that it knows.
 			this.service.send('held');
 			return;
 		}
@@ -65,12 +65,12 @@
 		this.service.send('idle');
 	}
 
-	/** Takes a message of the coordinator; messages are handled one after another. */
+	/** Handles a message of the coordinator; messages are handled one at a time. */
 	async receive(message: LinkMessage): Promise<void> {
 		await this.enqueue(async () => this.handle(message));
 	}
 
-	/** Asks for a decision that is awaited. */
+	/** Asks the coordinator for its decision if one is awaited. */
 	async tick(now: number): Promise<void> {
 		if (this.state === 'unread') {
 			await this.enqueue(async () => this.recover());
@@ -84,7 +84,7 @@
 		}
 	}
 
-	/* After a failure it is not known what the engine took: its state is read back before anything else. */
+	/* After a failure it is unknown which orders the engine took, so its state is read back before anything else. */
 	private async enqueue(work: () => Promise<void>): Promise<void> {
 		this.queue = this.queue.then(work).catch(() => {
 			this.service.send('forget');
@@ -118,7 +118,7 @@
 	}
 
 	private async stage(order: MessageOf<'map-stage'>): Promise<void> {
-		// An order of the same fencing number is the same order; a lower one comes from a planner that was overtaken.
+		// An equal fencing number means a repeated order; a lower one comes from a superseded planner.
 		const isStale = order.fence < this.fence || this.state === 'prepared';
 		const {holdStep, switchStep} = await this.options.engine.read();
 		const isBound = holdStep !== undefined || switchStep !== undefined;
@@ -152,7 +152,7 @@
 			return;
 		}
 
-		// Without a promise to end, rank 0's engine was told by the coordinator already, or nothing was promised.
+		// If the engine is not held, either the coordinator has already sent it the decision (rank 0) or it was never prepared.
 		const {holdStep} = await this.options.engine.read();
 		if (holdStep === undefined || await this.options.engine.decide(order)) {
 			this.service.send(this.isFenceKnown ? 'over' : 'forget');
--- a/src/maps/bound-skew.ts
+++ b/src/maps/bound-skew.ts
@@ -1,7 +1,7 @@
 import {type LayerLoads} from './layer-loads.js';
 import {type MapShape} from './map-shape.js';
 
-/** A skew that no map can go below: no rank is under the mean, and the hottest expert splits over so many replicas at most. */
+/** Returns a lower bound on the skew of any map: the largest rank load is at least the mean, and at least the hottest expert's load divided by its maximum number of replicas. */
 export function boundSkew(loads: LayerLoads, {experts, ranks, slots}: MapShape): number {
 	const replicas = Math.min(ranks, (ranks * slots) - experts + 1);
 	let largest = 0;
--- a/src/maps/check-shape.ts
+++ b/src/maps/check-shape.ts
@@ -2,7 +2,7 @@
 import {MapError} from './map-error.js';
 import {type MapShape} from './map-shape.js';
 
-/** Checks that every expert can have a slot, and that no rank must hold an expert twice. */
+/** Checks that every expert can have a slot, and that no rank needs to hold an expert twice. */
 export function checkShape(shape: MapShape): Result<MapShape, MapError> {
 	const {experts, ranks, slots} = shape;
 	if (ranks * slots < experts) {
--- a/src/maps/count-moves.ts
+++ b/src/maps/count-moves.ts
@@ -1,6 +1,6 @@
 import {type ExpertMap} from './expert-map.js';
 
-/** Copies that must be loaded to go from one map to another: experts on ranks that did not hold them. */
+/** Counts the copies that must be loaded to change from one map to another: experts on ranks that did not hold them. */
 export function countMoves(before: ExpertMap, after: ExpertMap): number {
 	let moves = 0;
 	for (const [layer, ranks] of after.entries()) {
--- a/src/maps/expert-map.ts
+++ b/src/maps/expert-map.ts
@@ -1,2 +1,2 @@
-/** Which experts each rank holds: `map[layer][rank]` lists expert ids, one a slot. */
+/** Which experts each rank holds: `map[layer][rank]` lists expert ids, one per slot. */
 export type ExpertMap = ReadonlyArray<ReadonlyArray<readonly number[]>>;
--- a/src/maps/generate-trace.ts
+++ b/src/maps/generate-trace.ts
@@ -10,18 +10,20 @@
 	readonly intervals: number;
 	readonly layers: number;
 	readonly experts: number;
-	/** Exponent of the Zipf popularity; 0 is even. */
+	/** Exponent of the Zipf distribution of popularity; 0 is uniform. */
 	readonly zipf: number;
 };
 
 type Random = {readonly uniform: () => number; readonly normal: () => number; readonly integer: (below: number) => number};
 
+/** Length of an interval, milliseconds, and tokens in one at volume 1. */
 const intervalMs = 10_000;
 const tokensPerInterval = 400_000;
 /** Standard deviation of a load around its popularity, as a share. */
 const noiseShare = 0.05;
-/** Steps of the random walk of log popularity within a burst, per interval. */
+/** Standard deviation of the random walk of log popularity during a burst, per interval. */
 const burstStep = 0.06;
+/** Intervals between two flips, and share of experts that exchange their popularity in one. */
 const flipIntervals = 25;
 const flipShare = 0.3;
 
@@ -52,7 +54,7 @@
 
 const mix = (one: readonly number[], other: readonly number[], share: number): number[] => one.map((weight, expert) => (weight * (1 - share)) + (other[expert] * share));
 
-/* Some experts trade their popularity with others, all at once. */
+/* Some experts exchange their popularity with others, all at once. */
 const flip = (popularity: readonly number[], random: Random): number[] => {
 	const flipped = [...popularity];
 	for (let count = Math.ceil(popularity.length * flipShare / 2); count > 0; count--) {
@@ -64,7 +66,7 @@
 	return flipped;
 };
 
-/* The popularity of each interval of one layer, as the kind says. */
+/* Draws the popularity of one layer's experts in each interval, by the kind of trace. */
 const drawLayer = (options: TraceOptions, random: Random): number[][] => {
 	const {kind, intervals, experts, zipf} = options;
 	const first = drawPopularity(experts, zipf, random);
--- a/src/maps/get-rank-loads.ts
+++ b/src/maps/get-rank-loads.ts
@@ -1,5 +1,5 @@
 /**
- * The load of each rank in one layer; an expert's load splits evenly over its replicas.
+ * Returns the load of each rank in one layer; an expert's load splits evenly over its replicas.
  *
  * @param ranks - expert ids on each rank
  * @param loads - tokens of each expert
--- a/src/maps/layer-change.ts
+++ b/src/maps/layer-change.ts
@@ -1,4 +1,4 @@
-/** A change of one layer: copies placed in slots, in place of what they hold now. */
+/** A change of one layer: copies placed in slots, replacing the slots' current experts. */
 export type LayerChange = {
 	readonly placements: ReadonlyArray<{readonly rank: number; readonly slot: number; readonly expert: number}>;
 	/** Reduction of the smoothed peak, tokens. */
--- a/src/maps/layer-loads.ts
+++ b/src/maps/layer-loads.ts
@@ -1,2 +1,2 @@
-/** Tokens that each expert had in one interval: `loads[layer][expert]`. */
+/** Tokens routed to each expert in one interval: `loads[layer][expert]`. */
 export type LayerLoads = ReadonlyArray<readonly number[]>;
--- a/src/maps/layer-search.ts
+++ b/src/maps/layer-search.ts
@@ -6,22 +6,22 @@
 	readonly canPlace?: (rank: number, expert: number) => boolean;
 };
 
-/* The peak is smoothed as a norm of rank loads of this order, so that lowering one of several equally hot ranks
- * already counts. It must be a power of two: the norm is taken by squaring. */
+/* The peak is smoothed as a norm of the rank loads of this order, so that lowering one of several equally loaded ranks
+ * already counts as a gain. The order must be a power of two, since powers are computed by squaring. */
 const squarings = 4;
 const normOrder = 2 ** squarings;
-/** Improvements below this share of the mean rank load are rounding. */
+/** Gains below this share of the mean rank load are rounding errors. */
 const minimumGainShare = 1e-6;
 const noSlot = -1;
-/** Deviations above its expected load that a rank is reckoned with; the largest of many ranks lies about there. */
+/** Standard deviations added to the expected load of a rank; the largest of many ranks lies about that far above its expectation. */
 const riskDeviations = 1.5;
 
 /**
- * One layer of a map in the middle of a search for better placements. Works on flat arrays, since the search looks
- * at every exchange with the hottest rank many times a plan.
+ * Local search for better placements in one layer of a map. Uses flat arrays for speed, since the search evaluates every
+ * exchange with the hottest rank many times per plan.
  */
 export class LayerSearch {
-	/** Expert in each slot, rank after rank. */
+	/** Expert in each slot, rank by rank. */
 	private readonly experts: Int32Array;
 	private readonly counts: Int32Array;
 	private readonly holders: number[][];
@@ -30,7 +30,7 @@
 	private readonly isPlaced: Uint8Array;
 	private readonly meanRankLoad: number;
 	private readonly slots: number;
-	/** Tokens of load that one unit of variance on a rank counts as. */
+	/** Tokens of load for one unit of variance on a rank. */
 	private readonly riskRate: number;
 	private readonly touched: Int32Array;
 	private readonly changes: Float64Array;
@@ -41,15 +41,15 @@
 
 	private touchedCount = 0;
 	private powerSum = 0;
-	/** How many times longer a rank takes for the same load. */
+	/** How many times slower each rank is with the same load. */
 	private readonly paces: readonly number[];
 	private readonly canPlace: (rank: number, expert: number) => boolean;
 
 	/**
 	 * @param map - expert ids on each rank
 	 * @param loads - expected tokens of each expert
-	 * @param variances - variance of each expert's load around that
-	 * @param limits - how slow each rank is (1 when absent), and which experts may be placed on it (any when absent)
+	 * @param variances - variance of each expert's load around its expectation
+	 * @param limits - how many times slower each rank is (1 if absent), and which experts may be placed on it (any if absent)
 	 */
 	constructor(map: ReadonlyArray<readonly number[]>, private readonly loads: Float64Array, private readonly variances: Float64Array, limits: SearchLimits = {}) {
 		const ranks = map.length;
@@ -78,7 +78,7 @@
 		this.refresh();
 	}
 
-	/** The largest rank load, its risk included, tokens. */
+	/** Largest rank load including its risk, tokens. */
 	get peak(): number {
 		let peak = 0;
 		for (const load of this.rankLoads) {
@@ -93,12 +93,12 @@
 		return this.meanRankLoad;
 	}
 
-	/** Standard deviation of the hottest rank's load, tokens. */
+	/** Returns the standard deviation of the hottest rank's load, tokens. */
 	getPeakDeviation(): number {
 		return Math.sqrt(this.getVariance(this.findHottest()));
 	}
 
-	/** The change that gains most for each copy it places; undefined when none gains. */
+	/** Finds the change with the highest gain per placed copy; undefined if none has a gain. */
 	findBest(): LayerChange | undefined {
 		const hot = this.findHottest();
 		this.best.gainPerCopy = 0;
@@ -107,7 +107,7 @@
 		return this.best.gainPerCopy > 0 ? this.describeBest() : undefined;
 	}
 
-	/** Carries a change out. */
+	/** Applies a change. */
 	apply(change: LayerChange): void {
 		for (const {rank, slot} of change.placements) {
 			this.removeReplica(this.experts[(rank * this.slots) + slot], rank);
@@ -121,7 +121,7 @@
 		this.refresh();
 	}
 
-	/** The layer as a map. */
+	/** Returns the layer as a map: expert ids on each rank. */
 	toMap(): number[][] {
 		return Array.from(this.rankLoads, (_load, rank) => [...this.experts.subarray(rank * this.slots, (rank + 1) * this.slots)]);
 	}
@@ -164,7 +164,7 @@
 		}
 	}
 
-	/* One more replica of an expert of the hottest rank anywhere, or a lighter expert in place of one of its replicas. */
+	/* Considers one more replica, on any rank, of an expert of the hottest rank, and a lighter expert in place of one of that rank's replicas. */
 	private searchReplicas(hot: number): void {
 		const hotStart = hot * this.slots;
 		const hotEnd = hotStart + this.slots;
@@ -209,7 +209,7 @@
 		}
 	}
 
-	/* Sums up what the touched ranks change in the power sum, and forgets them. */
+	/* Returns the change of the power sum over all touched ranks, and clears them. */
 	private sumTouchedChanges(): number {
 		let delta = 0;
 		for (let position = 0; position < this.touchedCount; position++) {
@@ -224,7 +224,7 @@
 		return delta;
 	}
 
-	/* What stands for free slots has no load, and more replicas than there are ranks: it changes nothing, and is passed over. */
+	/* The expert that represents free slots has no load and may have more replicas than there are ranks; it changes nothing and is skipped. */
 	private touchHolders(expert: number, change: number, exceptRank: number): void {
 		if (change === 0) {
 			return;
@@ -242,7 +242,7 @@
 		this.changes[rank] += change * this.paces[rank];
 	}
 
-	/* Turns the change of the power sum into tokens of the smoothed peak. */
+	/* Converts the change of the power sum to tokens of the smoothed peak. */
 	private describeBest(): LayerChange | undefined {
 		const {index, otherIndex, expert, gainPerCopy} = this.best;
 		const placements = [this.makePlacement(index, expert)];
@@ -290,12 +290,12 @@
 		}
 	}
 
-	/* What one replica of an expert puts on its rank: its share of the load, and the risk of that share. */
+	/* Load of one replica of an expert on its rank: its share of the expert's load, plus the risk of that share. */
 	private getReplicaLoad(expert: number, count: number): number {
 		return (this.loads[expert] / count) + (this.riskRate * this.variances[expert] / (count * count));
 	}
 
-	/* The risk of a rank is some deviations of its load. It is taken as linear in the variance around the present mean. */
+	/* The risk of a rank is `riskDeviations` standard deviations of its load, linearised in the variance around the current mean variance. */
 	private findRiskRate(): number {
 		let variance = 0;
 		for (let rank = 0; rank < this.rankLoads.length; rank++) {
--- a/src/maps/load-forecast.ts
+++ b/src/maps/load-forecast.ts
@@ -1,8 +1,8 @@
 import {type LayerLoads} from './layer-loads.js';
 
 /**
- * The predictors that compete: exponential means from following the last interval to hardly moving, and two that
- * follow a trend as well. The plain mean comes after them.
+ * Candidate predictors: exponential moving averages, from the last interval alone to very slow ones, and two with a
+ * trend. The arithmetic mean follows them as the last predictor.
  *
  * @see https://doi.org/10.1016/j.ijforecast.2003.09.015 exponential means with a trend
  */
@@ -14,25 +14,25 @@
 	{gain: 0.5, trendGain: 0.2},
 	{gain: 0.3, trendGain: 0.08},
 ] as const;
-/** How much of each predictor's past error still counts after one interval. */
+/** Share of each predictor's accumulated error that is kept after one interval. */
 const errorDecay = 0.9;
-/** How much better than the plain mean another predictor must be to be believed. */
+/** How many times smaller than the mean's error another predictor's error must be for it to be selected. */
 const meanAdvantage = 1.6;
-/** A miss this many times larger than usual is a sudden change: what was learnt before no longer counts. */
+/** An error this many times larger than usual means a sudden change, after which earlier observations are discarded. */
 const changeFactor = 8;
-/** Intervals after which it is known what a usual miss is. */
+/** Intervals after which the usual error is known. */
 const minimumCount = 3;
 
 type LayerState = {
-	/** `levels[predictor][expert]`: share of the layer's load; the last predictor is the plain mean. */
+	/** `levels[predictor][expert]`: share of the layer's load; the last predictor is the arithmetic mean. */
 	readonly levels: Float64Array[];
 	/** `trends[predictor][expert]`: change of the share in one interval. */
 	readonly trends: Float64Array[];
 	/** Recent squared error of each predictor, summed over experts. */
 	readonly errors: Float64Array;
-	/** Squared error of each expert under the best predictor, recent mean. */
+	/** Recent mean of each expert's squared error under the selected predictor. */
 	readonly variances: Float64Array;
-	/** Recent mean of the believed predictor's squared error. */
+	/** Recent mean of the selected predictor's squared error. */
 	usualError: number;
 	volume: number;
 	/** Intervals since the start, or since the last sudden change. */
@@ -43,28 +43,29 @@
 type LayerForecast = {
 	/** Expected tokens of each expert in the next interval. */
 	readonly loads: Float64Array;
-	/** Variance of the next load of each expert around that, tokens squared. */
+	/** Variance of each expert's next load around its expectation, tokens squared. */
 	readonly variances: Float64Array;
-	/** Share of that variance which is the expectation's own error, and not the interval's noise. */
+	/** Share of the variance that is the error of the expectation itself rather than noise of the interval. */
 	readonly forecastErrorShare: number;
-	/** Whether popularity does not seem to change, so that the plain mean is believed. */
+	/** Whether popularity appears constant, so that the arithmetic mean is the selected predictor. */
 	readonly isSteady: boolean;
-	/** Intervals that it was learnt from, since the start or the last sudden change. */
+	/** Intervals observed since the start or the last sudden change. */
 	readonly count: number;
-	/** Intervals that the expectation is likely to hold for. */
+	/** Intervals for which the expectation is likely to hold. */
 	readonly horizon: number;
 };
 
+/** Upper bound of the horizon of a forecast, intervals. */
 const maximumHorizon = 30;
 
 /**
- * Forecasts expert loads. Several exponential means and the plain mean compete in every layer; the one that erred
- * least lately is believed. Noise is then averaged away, and drift or a sudden change is followed.
+ * Forecasts expert loads. In each layer the predictor with the smallest recent error is selected, so that noise is
+ * averaged out while drift and sudden changes are followed.
  */
 export class LoadForecast {
 	private readonly layers: LayerState[] = [];
 
-	/** Takes the loads of an interval that has ended. */
+	/** Records the loads of an interval that has ended. */
 	observe(loads: LayerLoads): void {
 		for (const [layer, experts] of loads.entries()) {
 			this.layers[layer] ??= makeLayer(experts.length);
@@ -72,7 +73,7 @@
 		}
 	}
 
-	/** Forecasts one layer; nothing is known before the first interval. */
+	/** Forecasts one layer; the first interval must have been observed. */
 	getLayer(layer: number): LayerForecast {
 		const {levels, trends, errors, variances, volume, count} = this.layers[layer];
 		const best = findBest(errors);
@@ -80,7 +81,7 @@
 		return {
 			loads: levels[best].map((share, expert) => Math.max(0, share + trends[best][expert]) * volume),
 			variances: variances.map(variance => variance * volume * volume),
-			// The variance of an exponential mean of independent samples, by that of one sample.
+			// Variance of an exponential moving average of independent samples, relative to that of one sample.
 			forecastErrorShare: best < predictors.length ? gain / (2 - gain) : gain,
 			isSteady: best === predictors.length,
 			count,
@@ -128,7 +129,7 @@
 	};
 }
 
-/* The variances stay: a sudden change of popularity says nothing of the noise around it. */
+/* Variances are kept, since a sudden change of popularity does not change the noise around it. */
 function resetPopularity(state: LayerState): void {
 	for (const predictor of state.levels.keys()) {
 		state.levels[predictor].fill(0);
@@ -143,14 +144,14 @@
 	return count === 1 ? 1 : (predictors[predictor]?.gain ?? 1 / count);
 }
 
-function getError(state: LayerState, predictor: number, expert: number, load: number): number {
+function getResidual(state: LayerState, predictor: number, expert: number, load: number): number {
 	return (load / state.volume) - state.levels[predictor][expert] - state.trends[predictor][expert];
 }
 
 function measureError(state: LayerState, predictor: number, experts: readonly number[]): number {
 	let error = 0;
 	for (const [expert, load] of experts.entries()) {
-		error += getError(state, predictor, expert, load) ** 2;
+		error += getResidual(state, predictor, expert, load) ** 2;
 	}
 
 	return error;
@@ -160,12 +161,12 @@
 	const isMean = best === predictors.length;
 	const weight = isMean ? 1 / state.count : Math.max(1 - errorDecay, 1 / state.count);
 	for (const [expert, load] of experts.entries()) {
-		const miss = getError(state, best, expert, load);
-		state.variances[expert] += weight * ((miss * miss) - state.variances[expert]);
+		const residual = getResidual(state, best, expert, load);
+		state.variances[expert] += weight * ((residual * residual) - state.variances[expert]);
 	}
 }
 
-/* Lets one predictor learn from an interval. */
+/* Updates one predictor and its accumulated error with the loads of an interval. */
 function updatePredictor(state: LayerState, predictor: number, experts: readonly number[]): void {
 	const levels = state.levels[predictor];
 	const trends = state.trends[predictor];
@@ -173,16 +174,16 @@
 	const trendGain = state.count === 1 ? 0 : (predictors[predictor]?.trendGain ?? 0);
 	let error = 0;
 	for (const [expert, load] of experts.entries()) {
-		const miss = getError(state, predictor, expert, load);
-		levels[expert] += trends[expert] + (gain * miss);
-		trends[expert] += trendGain * miss;
-		error += miss * miss;
+		const residual = getResidual(state, predictor, expert, load);
+		levels[expert] += trends[expert] + (gain * residual);
+		trends[expert] += trendGain * residual;
+		error += residual * residual;
 	}
 
 	state.errors[predictor] = state.count === 1 ? 0 : (state.errors[predictor] * errorDecay) + error;
 }
 
-/* The plain mean is the last predictor; it stays unless another is clearly better. */
+/* Selects the mean, which is the last predictor, unless another one is clearly better. */
 function findBest(errors: Float64Array): number {
 	const mean = errors.length - 1;
 	let best = 0;
--- a/src/maps/make-policy.ts
+++ b/src/maps/make-policy.ts
@@ -4,7 +4,7 @@
 import {type MapWeights} from './map-weights.js';
 import {repackMap} from './repack-map.js';
 
-/** Makes a policy by its name. */
+/** Creates the policy of a name. */
 export function makePolicy(name: 'static' | 'repack' | 'incremental', shape: MapShape, weights: MapWeights): MapPolicy {
 	switch (name) {
 		case 'static': {
--- a/src/maps/map-error.ts
+++ b/src/maps/map-error.ts
@@ -1,4 +1,4 @@
-/** A trace, a shape or a map that cannot be used: says where and what was expected. */
+/** Error for an invalid trace, shape or map; the message says where, and what was expected. */
 export class MapError extends Error {
 	override readonly name = 'MapError';
 }
--- a/src/maps/map-planner.ts
+++ b/src/maps/map-planner.ts
@@ -6,18 +6,18 @@
 import {type MapWeights} from './map-weights.js';
 import {planMap} from './plan-map.js';
 
-/** Share of all slots that may be filled anew in one interval when both weights are equal, and its limits. */
+/** Share of all slots that may be refilled in one interval when both weights are equal, and its limits for other weights. */
 const evenShare = 0.015;
 const minimumShare = 0.004;
 const maximumShare = 0.038;
-/** Intervals whose unused budget is kept. */
+/** Intervals of unused budget that can be saved up. */
 const savedIntervals = 9;
-/** Copies that one plan places at most, which bounds its time. */
+/** Maximum copies that one plan places, which bounds the planning time. */
 const maximumCopies = 1500;
-/** Copies that a small group may save up for, so that it can change at all. */
+/** Copies that any group can save up, so that small groups can change their map at all. */
 const minimumSavedLimit = 8;
 
-/** Plans the maps of one group over time: forecasts from the loads seen so far, within a budget of moves. */
+/** Plans the maps of one group over time, from a forecast of its loads and within a budget of copies. */
 export class MapPlanner {
 	private readonly forecast = new LoadForecast();
 	private readonly share: number;
@@ -30,10 +30,10 @@
 	}
 
 	/**
-	 * Takes the loads of the interval that has just ended, and plans the map for the next.
+	 * Records the loads of the interval that has just ended, and plans the map for the next one.
 	 *
 	 * @param map - the map in force
-	 * @returns the map in force from now on; the same object when nothing should change
+	 * @returns the map in force from now on; the same object if nothing should change
 	 */
 	plan(map: ExpertMap, loads: LayerLoads): ExpertMap {
 		this.forecast.observe(loads);
--- a/src/maps/map-weights.ts
+++ b/src/maps/map-weights.ts
@@ -1,4 +1,4 @@
-/** What a group's owner holds for worth: a lower skew, and fewer copies moved. Only their ratio counts. */
+/** Weights of a lower skew and of fewer copies in the planning of a group's map. Only their ratio matters. */
 export type MapWeights = {
 	readonly skew: number;
 	readonly move: number;
--- a/src/maps/measure-skew.ts
+++ b/src/maps/measure-skew.ts
@@ -2,7 +2,7 @@
 import {getRankLoads} from './get-rank-loads.js';
 import {type LayerLoads} from './layer-loads.js';
 
-/** Step-time skew of one interval: the sum over layers of the largest rank load, by the sum of the mean rank loads. */
+/** Returns the step-time skew of one interval: the sum over layers of the largest rank load, divided by the sum of the mean rank loads. */
 export function measureSkew(map: ExpertMap, loads: LayerLoads): number {
 	let largest = 0;
 	let mean = 0;
--- a/src/maps/pack-layer.ts
+++ b/src/maps/pack-layer.ts
@@ -2,7 +2,7 @@
 
 type Copy = {readonly expert: number; readonly load: number};
 
-/** Deals the slots out as replicas: each further one goes to the expert whose replicas carry most. */
+/* Determines the number of replicas: each spare slot goes to the expert with the highest load per replica. */
 const countReplicas = (loads: readonly number[], {experts, ranks, slots}: MapShape): number[] => {
 	const counts = Array.from({length: experts}, () => 1);
 	for (let spare = (ranks * slots) - experts; spare > 0; spare--) {
@@ -20,7 +20,7 @@
 	return counts;
 };
 
-/* A copy that fits nowhere without standing twice on a rank trades places with one that may go there. */
+/* Places a copy that would be twice on every rank with a free slot, by moving another copy to the free slot. */
 const placeBySwap = (placed: number[][], copy: Copy, slots: number): void => {
 	const open = placed.findIndex(experts => experts.length < slots);
 	for (const experts of placed) {
@@ -34,7 +34,7 @@
 };
 
 /**
- * Packs one layer from nothing: replicas by load, then the heaviest copy first onto the lightest rank that has room.
+ * Packs one layer from scratch: replicas in proportion to load, then the heaviest copy first onto the least loaded rank with room.
  *
  * @see https://doi.org/10.1137/0117039 longest processing time first
  */
--- a/src/maps/parse-trace.ts
+++ b/src/maps/parse-trace.ts
@@ -31,7 +31,7 @@
 		: new MapError(`line ${number}: loads.${ragged}: expected ${experts} experts as in the first layer, not ${interval.loads[ragged].length}`);
 };
 
-/** Reads a trace, an interval a line (JSON Lines); times must rise and every line must have the same shape. */
+/** Parses a trace with one interval per line (JSON Lines); times must increase and all lines must have the same shape. */
 export function parseTrace(text: string): Result<TraceInterval[], MapError> {
 	const intervals: TraceInterval[] = [];
 	for (const [index, line] of text.split('\n').entries()) {
--- a/src/maps/plan-map.ts
+++ b/src/maps/plan-map.ts
@@ -25,21 +25,21 @@
 	next: LayerChange | undefined;
 };
 
-/** What placing one copy costs, as a share of one interval's step time, when both weights are equal. */
+/** Cost of placing one copy when both weights are equal, as a share of one interval's step time. */
 const copyCost = 2e-5;
 /** A layer changes only if its peak falls by this many standard errors of the forecast. */
 const minimumStandardErrors = 0.5;
-/** The same while popularity does not seem to change: the largest of many ranks is then mostly noise. */
+/** The same while popularity appears constant: the largest of many rank loads is then mostly noise. */
 const steadyStandardErrors = 4;
-/** And by this share of its mean rank load, in either case. */
+/** A layer also changes only if its peak falls by this share of its mean rank load, in either case. */
 const minimumReliefShare = 0.002;
 const steadyReliefShare = 0.03;
-/** After so many intervals without a change, a layer is left alone for anything less than this share. */
+/** The share required while popularity appears constant, once this many intervals have passed since the last sudden change. */
 const settledCount = 24;
 const settledReliefShare = 0.08;
-/** A layer whose peak a fresh packing would lower by this share of the mean is stuck. */
+/** A layer is stuck if packing it from scratch would lower its peak by this share of the mean rank load. */
 const stuckShare = 0.02;
-/** Layers that are packed afresh to see whether they are stuck, in one plan. */
+/** Maximum number of layers that one plan packs from scratch to see whether they are stuck. */
 const maximumPackings = 6;
 
 const getGainPerCopy = (plan: LayerPlan): number => plan.next ? plan.next.gain * plan.forecast.horizon / plan.next.placements.length : 0;
@@ -63,11 +63,11 @@
 	return best;
 };
 
-/* A gain that the forecast's own error may explain is not worth a copy. */
+/* Whether a layer's relief is larger than what the forecast's error could explain. */
 const isCertain = (plan: LayerPlan): boolean => {
-	const {isSteady, forecastErrorShare: ownShare, count} = plan.forecast;
+	const {isSteady, forecastErrorShare, count} = plan.forecast;
 	const relief = plan.peakBefore - plan.search.peak;
-	const error = plan.search.getPeakDeviation() * Math.sqrt(ownShare);
+	const error = plan.search.getPeakDeviation() * Math.sqrt(forecastErrorShare);
 	const {meanLoad} = plan.search;
 	const steadyRelief = count >= settledCount ? settledReliefShare : steadyReliefShare;
 	return isSteady
@@ -75,7 +75,7 @@
 		: relief > Math.max(minimumStandardErrors * error, minimumReliefShare * meanLoad);
 };
 
-/* Takes single changes, the worthiest first in whichever layer; gives the copies of the budget that are left. */
+/* Applies single changes, the one with the highest gain per copy over all layers first; returns the rest of the budget, copies. */
 const improve = (layers: readonly LayerPlan[], minimumGainPerCopy: number, budget: number): number => {
 	let left = budget;
 	for (;;) {
@@ -91,7 +91,7 @@
 	}
 };
 
-/* A layer that no single change helps may still be far from what a fresh packing gives; that is taken if it pays. */
+/* A layer that no single change improves may still be much worse than one packed from scratch, which is used if it is worth its copies. */
 const packStuckLayers = (layers: readonly LayerPlan[], shape: MapShape, minimumGainPerCopy: number, budget: number): void => {
 	let left = budget;
 	const worstFirst = layers.toSorted((one, other) => (other.search.peak / other.search.meanLoad) - (one.search.peak / one.search.meanLoad));
@@ -112,10 +112,10 @@
 };
 
 /**
- * Plans the next map: from the present one, takes the change that relieves most for each copy it places, in whichever
- * layer, while it pays over the intervals that the forecast is likely to hold for; then packs stuck layers afresh.
+ * Plans the next map from the current one. Repeatedly applies the change with the highest gain per copy over all layers,
+ * as long as the gain over the forecast's horizon exceeds the cost; then packs stuck layers from scratch.
  *
- * @returns the next map, or undefined when the present one should stay
+ * @returns the next map, or undefined if the current one should stay
  */
 export function planMap({
 	map, shape, forecast, weights, budget,
--- a/src/maps/repack-layer.ts
+++ b/src/maps/repack-layer.ts
@@ -2,7 +2,7 @@
 import {type MapShape} from './map-shape.js';
 import {packLayer} from './pack-layer.js';
 
-/** Packs one layer anew for the given loads, then gives each packed rank to the present rank that shares most with it. */
+/** Packs one layer from scratch for the given loads, then assigns the packed ranks to the current ranks with the fewest copies to load. */
 export function repackLayer(present: ReadonlyArray<readonly number[]>, loads: readonly number[], shape: MapShape): number[][] {
 	const packed = packLayer(loads, shape);
 	const held = present.map(experts => new Set(experts));
--- a/src/maps/repack-map.ts
+++ b/src/maps/repack-map.ts
@@ -3,7 +3,7 @@
 import {type MapShape} from './map-shape.js';
 import {repackLayer} from './repack-layer.js';
 
-/** The baseline: packs every layer anew for the loads of the last interval. */
+/** Baseline policy: packs every layer from scratch for the loads of the last interval. */
 export function repackMap(present: ExpertMap, loads: LayerLoads, shape: MapShape): ExpertMap {
 	return present.map((ranks, layer) => repackLayer(ranks, loads[layer], shape));
 }
--- a/src/maps/replay-interval.ts
+++ b/src/maps/replay-interval.ts
@@ -5,11 +5,11 @@
 	readonly atMs: number;
 	/** The map in force during the interval. */
 	readonly map: ExpertMap;
-	/** Copies placed to bring that map into force. */
+	/** Copies placed to bring the map into force. */
 	readonly moves: number;
 	readonly skew: number;
-	/** A skew that no map could have gone below. */
+	/** Lower bound on the skew of any map. */
 	readonly bound: number;
-	/** Time spent on planning the map of the next interval. */
+	/** Time spent on planning the next interval's map, milliseconds. */
 	readonly planningMs: number;
 };
--- a/src/maps/replay-summary.ts
+++ b/src/maps/replay-summary.ts
@@ -1,13 +1,13 @@
-/** What a replay came to. */
+/** Summary of a replay. */
 export type ReplaySummary = {
 	readonly intervals: number;
 	readonly meanSkew: number;
 	readonly p95Skew: number;
 	/** Mean of the lower bounds on skew. */
 	readonly boundSkew: number;
-	/** Copies moved; the first map is free. */
+	/** Copies placed; those of the initial map are not counted. */
 	readonly moves: number;
-	/** Intervals that began with another map than the one before. */
+	/** Intervals that started with another map than the one before. */
 	readonly switches: number;
 	readonly planningP50Ms: number;
 	readonly planningP99Ms: number;
--- a/src/maps/replay-trace.ts
+++ b/src/maps/replay-trace.ts
@@ -12,7 +12,7 @@
 	readonly trace: readonly TraceInterval[];
 	readonly shape: MapShape;
 	readonly policy: MapPolicy;
-	/** A running clock, milliseconds, for the planning time. */
+	/** Monotonic clock for the planning time, milliseconds. */
 	readonly clock: () => number;
 };
 
--- a/src/maps/summarize-replay.ts
+++ b/src/maps/summarize-replay.ts
@@ -8,7 +8,7 @@
 	return sorted[Math.min(sorted.length - 1, Math.ceil(quantile * sorted.length) - 1)];
 };
 
-/** Sums a replay up. */
+/** Summarizes a replay. */
 export function summarizeReplay(intervals: readonly ReplayInterval[]): ReplaySummary {
 	const skews = intervals.map(({skew}) => skew);
 	const times = intervals.map(({planningMs}) => planningMs);
