--- a/features/support/group-harness.ts
+++ b/features/support/group-harness.ts
@@ -33,7 +33,7 @@
 	/** Latency of a message between processes, milliseconds. */
 	latencyMs = 0;
 	private readonly agents: RankAgent[] = [];
-	private inTransit: Array<{readonly dueAt: number; readonly isHere: () => boolean; readonly take: () => void}> = [];
+	private inTransit: Array<{readonly dueAt: number; readonly canReceive: () => boolean; readonly deliver: () => void}> = [];
 	/** Planner to which each agent reports. */
 	private readonly followed: Array<Planner | undefined> = [];
 
@@ -182,19 +182,19 @@
 	}
 
 	private deliverDue(): void {
-		const isDue = ({dueAt, isHere}: (typeof this.inTransit)[number]): boolean => dueAt <= this.now && isHere();
+		const isDue = ({dueAt, canReceive}: (typeof this.inTransit)[number]): boolean => dueAt <= this.now && canReceive();
 		const due = this.inTransit.filter(message => isDue(message));
 		this.inTransit = this.inTransit.filter(message => !isDue(message));
-		for (const {take} of due) {
-			take();
+		for (const {deliver} of due) {
+			deliver();
 		}
 	}
 
-	private send(isHere: () => boolean, take: () => void): void {
-		if (this.latencyMs === 0 && isHere()) {
-			take();
+	private send(canReceive: () => boolean, deliver: () => void): void {
+		if (this.latencyMs === 0 && canReceive()) {
+			deliver();
 		} else {
-			this.inTransit.push({dueAt: this.now + this.latencyMs, isHere, take});
+			this.inTransit.push({dueAt: this.now + this.latencyMs, canReceive, deliver});
 		}
 	}
 
