--- a/features/support/office-crowd.ts
+++ b/features/support/election-cluster.ts
@@ -7,22 +7,22 @@
 import {unguarded} from '../../src/view/unguarded.js';
 import {MemoryStore} from '../../stand-ins/forward/memory-store.js';
 
-type Candidate = {readonly id: string; readonly view: StoreView; readonly election: PlannerElection; term: number | undefined; isFrozen: boolean};
+type Candidate = {readonly id: string; readonly view: StoreView; readonly election: PlannerElection; term: number | undefined; isSuspended: boolean};
 
-const officeKey = 'office';
+const plannerKey = 'planner';
 const turnMs = 10;
 const tickMs = 100;
 const waitMs = 12_000;
 const longestPauseMs = 2000;
 
-/** Processes that seek one planner's office in a store, by one clock. */
-export class OfficeCrowd {
+/** Processes that campaign for one planner key in a store, on one simulated clock. */
+export class ElectionCluster {
 	now = 0;
 	readonly store = new MemoryStore(() => this.now);
 	readonly candidates: Candidate[] = [];
-	/** All terms, in the order in which they began. */
+	/** All terms, in the order in which they started. */
 	readonly terms: number[] = [];
-	/** Longest time for which nobody was in office, milliseconds. */
+	/** Longest time without a planner, milliseconds. */
 	longestVacancyMs = 0;
 	private readonly random: () => number;
 	private vacantMs = 0;
@@ -36,25 +36,25 @@
 		}
 	}
 
-	/** Draws a number below `count`. */
+	/** Returns a random integer below `count`. */
 	draw(count: number): number {
 		return Math.floor(this.random() * count);
 	}
 
-	/** Who is in office by own account. */
-	listInOffice(): Candidate[] {
+	/** Processes that take themselves to be the planner. */
+	listPlanners(): Candidate[] {
 		return this.candidates.filter(({election}) => election.term !== undefined);
 	}
 
-	/** Sets what calls to the store come to, for all. */
+	/** Sets the fault of the store for the calls of all processes. */
 	setFault(fault: 'none' | 'down'): void {
 		for (const {id} of this.candidates) {
 			this.store.setFault(id, fault);
 		}
 	}
 
-	/** The store goes away and comes back from its copy. */
-	async drill(awayMs: number): Promise<void> {
+	/** Makes the store unavailable for a time and restores it from its copy. */
+	async restoreStore(awayMs: number): Promise<void> {
 		if (awayMs > 0) {
 			this.setFault('down');
 			await this.pass(awayMs);
@@ -64,7 +64,7 @@
 		this.setFault('none');
 	}
 
-	/** Lets time pass. */
+	/** Advances the simulated clock. */
 	async pass(ms: number): Promise<void> {
 		for (const end = this.now + ms; this.now < end;) {
 			this.now += turnMs;
@@ -75,11 +75,11 @@
 				this.tick();
 			}
 
-			this.look();
+			this.recordTerms();
 		}
 	}
 
-	/** Ends what runs, and gives real time back. */
+	/** Closes the views and restores the real timers. */
 	close(): void {
 		for (const {view} of this.candidates) {
 			view.close();
@@ -89,15 +89,15 @@
 	}
 
 	private tick(): void {
-		for (const {view, election, isFrozen} of this.candidates) {
-			if (!isFrozen) {
+		for (const {view, election, isSuspended} of this.candidates) {
+			if (!isSuspended) {
 				view.tick(this.now);
-				void election.tick(this.now, view.isKnown ? {era: view.asOf.era, holder: view.get(officeKey), stored: view.getStored(officeKey)} : undefined, false);
+				void election.tick(this.now, view.isKnown ? {era: view.asOf.era, holder: view.get(plannerKey), stored: view.getStored(plannerKey)} : undefined, false);
 			}
 		}
 	}
 
-	private look(): void {
+	private recordTerms(): void {
 		for (const candidate of this.candidates) {
 			const {term} = candidate.election;
 			if (term !== undefined && term !== candidate.term) {
@@ -107,7 +107,7 @@
 			candidate.term = term;
 		}
 
-		this.vacantMs = this.listInOffice().length > 0 ? 0 : this.vacantMs + turnMs;
+		this.vacantMs = this.listPlanners().length > 0 ? 0 : this.vacantMs + turnMs;
 		this.longestVacancyMs = Math.max(this.longestVacancyMs, this.vacantMs);
 	}
 
@@ -115,7 +115,7 @@
 		const store = this.store.open(id);
 		const view = new StoreView({
 			feed: store,
-			prefix: officeKey,
+			prefix: plannerKey,
 			guard: unguarded,
 			waitMs,
 			longestPauseMs,
@@ -132,10 +132,10 @@
 			id,
 			view,
 			election: new PlannerElection({
-				registry: store, key: officeKey, address: `rank-${id}`, random: this.random, log: String,
+				registry: store, key: plannerKey, address: `rank-${id}`, random: this.random, log: String,
 			}),
 			term: undefined,
-			isFrozen: false,
+			isSuspended: false,
 		};
 	}
 }
--- a/src/expert-balance/start-rank-process.ts
+++ b/src/expert-balance/start-rank-process.ts
@@ -12,13 +12,13 @@
 import {type RankEngine} from './rank-engine.js';
 import {RankProcess} from './rank-process.js';
 
-type Surroundings = {
+type Dependencies = {
 	readonly feed: ChangeFeed;
 	readonly registry: Registry;
 	readonly openEngine: (address: string) => RankEngine;
-	/** Addresses of the engines that are registered for a service; none, with a log line, while they cannot be read. */
+	/** Addresses of the engines that are registered for a service; empty, with a log line, if they cannot be read. */
 	readonly listEngines: (service: string) => Promise<readonly string[]>;
-	/** Reads what operators have configured for a service; undefined while it is not known. */
+	/** Reads the operators' configuration of a service; undefined while it is unknown. */
 	readonly readService: (name: string) => Promise<Service | undefined>;
 	readonly clock: () => number;
 	readonly random: () => number;
@@ -37,14 +37,14 @@
 
 const linkTimeoutMs = 1000;
 
-/** Starts the process beside one rank's engine: its tasks, and the sockets that they use. */
-export async function startRankProcess(settings: RankSettings, surroundings: Surroundings): Promise<RunningRankProcess> {
+/** Starts the process of one rank, with its sockets. */
+export async function startRankProcess(settings: RankSettings, dependencies: Dependencies): Promise<RunningRankProcess> {
 	const {address, linkPort} = settings;
 	const metrics = new RankMetrics();
 	const engineAddress = `${settings.engine.host}:${settings.engine.port}`;
-	const tasks = new RankProcess({
+	const rankProcess = new RankProcess({
 		...settings,
-		...surroundings,
+		...dependencies,
 		ownAddress: `${address}:${linkPort}`,
 		engineAddress,
 		async connect(peer) {
@@ -59,38 +59,38 @@
 		},
 		log,
 	});
-	makeViewGauges(metrics.registry, () => tasks.view, surroundings.clock);
+	makeViewGauges(metrics.registry, () => rankProcess.view, dependencies.clock);
 	const listener = await listenLink({
 		...settings.link,
 		address,
 		port: linkPort,
 		meter: metrics.meterLink,
 		onConnection(connection) {
-			tasks.accept(connection);
+			rankProcess.accept(connection);
 		},
 		onRejection(reason) {
-			log(`peer turned away: ${reason}`);
+			log(`link from peer rejected: ${reason}`);
 		},
 	});
 	const admin = await startAdminServer({
 		address,
 		port: settings.metricsPort,
 		registry: metrics.registry,
-		isReady: () => tasks.member.report !== undefined,
+		isReady: () => rankProcess.agent.report !== undefined,
 		pages: {
 			status: () => ({
-				id: settings.id, report: tasks.member.report, term: tasks.member.term, plans: tasks.isInOffice,
+				id: settings.id, report: rankProcess.agent.report, term: rankProcess.agent.term, plans: rankProcess.isPlanner,
 			}),
 		},
 	});
-	tasks.start();
-	log(`started beside ${engineAddress}`);
+	rankProcess.start();
+	log(`started for engine ${engineAddress}`);
 	let finish: () => void;
 	const stopped = new Promise<void>(resolve => {
 		finish = resolve;
 	});
 	const close = async (): Promise<void> => {
-		tasks.close();
+		rankProcess.close();
 		admin.close();
 		await listener.close();
 		log('stopped');
