--- a/bench/support/simulate-limits.ts
+++ b/bench/support/simulate-limits.ts
@@ -38,19 +38,19 @@
 		id: String(entry),
 		lender: new Lender(),
 		clock: () => clock.now,
-		findHome: () => isNoticed() && zoneOf(entry) === 1 ? '4' : '0',
-		ask(home, message) {
+		findLender: () => isNoticed() && zoneOf(entry) === 1 ? '4' : '0',
+		sendBorrow(home, message) {
 			if (isCut() && zoneOf(Number(home)) !== zoneOf(entry)) {
 				return false;
 			}
 
 			const loan = controllers[Number(home)].lend(message, String(entry), demand, clock.now);
 			queueMicrotask(() => {
-				controllers[entry].takeLoan(loan);
+				controllers[entry].receiveLoan(loan);
 			});
 			return true;
 		},
-		getVisibleShare: () => isNoticed() ? 0.5 : 1,
+		getReachableShare: () => isNoticed() ? 0.5 : 1,
 		countEntries: () => isNoticed() ? entries / 2 : entries,
 	}));
 	const admitted: number[] = Array.from({length: seconds}, () => 0);
--- a/features/steps/admission-steps.ts
+++ b/features/steps/admission-steps.ts
@@ -6,7 +6,7 @@
 import path from 'node:path';
 import {Given, Then, When} from '@cucumber/cucumber';
 import {parse} from 'smol-toml';
-import {LoadBoard} from '../../src/balance/load-board.js';
+import {InFlightCounts} from '../../src/balance/in-flight-counts.js';
 import {admitStream} from '../../src/decisions/admit-stream.js';
 import {PauseForecast} from '../../src/decisions/pause-forecast.js';
 import {type Route} from '../../src/fleet/route.js';
@@ -153,7 +153,7 @@
 };
 
 Given('an entry that has seen pauses of {int} ms, with {int} streams at each of {int} targets', function (this: SystemWorld, gapMs: number, streams: number, targets: number) {
-	const board = new LoadBoard();
+	const board = new InFlightCounts();
 	const directory = new TargetDirectory();
 	const list = Array.from({length: targets}, (_target, index) => Target.parse({
 		id: `t${index}`, service: 'desk', address: '10.0.0.1', port: 1000 + index, availabilityZone: 'a', slots: 8, isLeaving: false,
@@ -161,7 +161,7 @@
 	directory.replace(list, 0, false);
 	for (const {id} of list) {
 		for (let stream = 0; stream < streams; stream++) {
-			board.begin(id, 0);
+			board.noteStart(id, 0);
 		}
 	}
 
@@ -187,12 +187,12 @@
 });
 
 When('a peer has {int} more at each of {int} others', function (this: SystemWorld, streams: number, count: number) {
-	const {board, list} = this.notes.get('entry') as {board: LoadBoard; list: readonly Target[]};
+	const {board, list} = this.notes.get('entry') as {board: InFlightCounts; list: readonly Target[]};
 	board.merge('peer', Object.fromEntries(list.slice(-count).map(({id}) => [id, streams])), 2000);
 });
 
 Given('a peer with {int} more at each target', function (this: SystemWorld, streams: number) {
-	const {board, list} = this.notes.get('entry') as {board: LoadBoard; list: readonly Target[]};
+	const {board, list} = this.notes.get('entry') as {board: InFlightCounts; list: readonly Target[]};
 	board.merge('peer', Object.fromEntries(list.map(({id}) => [id, streams])), 2000);
 });
 
@@ -211,15 +211,15 @@
 });
 
 Given('an entry that has seen pauses of {int} ms in one group of {int} targets and of {int} ms in another', function (this: SystemWorld, evenMs: number, targets: number, unevenMs: number) {
-	const board = new LoadBoard();
+	const board = new InFlightCounts();
 	const directory = new TargetDirectory();
 	const list = ['even', 'uneven'].flatMap((group, half) => Array.from({length: targets}, (_target, index) => Target.parse({
 		id: `${group}-${index}`, service: 'desk', group, address: '10.0.0.1', port: 1000 + (half * targets) + index, availabilityZone: 'a', slots: 8, isLeaving: false,
 	})));
 	directory.replace(list, 0, false);
 	for (const {id} of list) {
-		board.begin(id, 0);
-		board.begin(id, 0);
+		board.noteStart(id, 0);
+		board.noteStart(id, 0);
 	}
 
 	const admission = new StreamAdmission({
--- a/features/steps/crash-steps.ts
+++ b/features/steps/crash-steps.ts
@@ -1,17 +1,17 @@
 import assert from 'node:assert/strict';
 import {Given, Then, When} from '@cucumber/cucumber';
 import {type HttpTarget} from '../../stand-ins/forward/http-target.js';
-import {type CallFleet} from '../support/call-fleet.js';
-import {type FleetTarget} from '../support/fleet-target.js';
+import {type FleetSimulation} from '../support/fleet-simulation.js';
+import {type SimulatedTarget} from '../support/simulated-target.js';
 import {type ForwardSystem} from '../support/forward-system.js';
 import {type SystemWorld} from '../support/system-world.js';
 
 type Answer = Awaited<ReturnType<ForwardSystem['call']>>;
 
 /** Crashes after which the request is known to cause them. */
-const crashesToTell = 3;
+const crashesToIdentify = 3;
 
-const getFleet = (world: SystemWorld): CallFleet => world.notes.get('fleet') as CallFleet;
+const getFleet = (world: SystemWorld): FleetSimulation => world.notes.get('fleet') as FleetSimulation;
 const getSystem = (world: SystemWorld): ForwardSystem => world.notes.get('forward') as ForwardSystem;
 const listTargets = (world: SystemWorld): HttpTarget[] => [...getSystem(world).targets.values()];
 const listCrashes = (world: SystemWorld): number[] => getFleet(world).arrivals.filter(({isCrashing}) => isCrashing).map(({at}) => at);
@@ -25,7 +25,7 @@
 });
 
 /* Has a request that crashes its targets come again and again, and lets whoever asked last have its answer. */
-const comeAgain = async (world: SystemWorld, everyMs: number, [fromSecond, untilSecond]: readonly [number, number], come: (fleet: CallFleet) => void): Promise<void> => {
+const repeatCrashingRequest = async (world: SystemWorld, everyMs: number, [fromSecond, untilSecond]: readonly [number, number], come: (fleet: FleetSimulation) => void): Promise<void> => {
 	const fleet = getFleet(world);
 	const [from, until] = [fromSecond * 1000, untilSecond * 1000];
 	await fleet.pass(from);
@@ -39,13 +39,13 @@
 };
 
 When('a request that crashes its targets comes each {int} ms from second {int} to {int}', async function (this: SystemWorld, everyMs: number, from: number, until: number) {
-	await comeAgain(this, everyMs, [from, until], fleet => {
+	await repeatCrashingRequest(this, everyMs, [from, until], fleet => {
 		fleet.crash();
 	});
 });
 
 When('a request that crashes its targets comes at all entries each {int} ms from second {int} to {int}', async function (this: SystemWorld, everyMs: number, from: number, until: number) {
-	await comeAgain(this, everyMs, [from, until], fleet => {
+	await repeatCrashingRequest(this, everyMs, [from, until], fleet => {
 		for (const entry of fleet.paths.keys()) {
 			fleet.crash(entry);
 		}
@@ -54,7 +54,7 @@
 
 Then('it reaches targets at most {int} times later than {int} seconds after it has crashed the third', function (this: SystemWorld, most: number, seconds: number) {
 	const crashes = listCrashes(this);
-	const later = crashes.filter(at => at > crashes[crashesToTell - 1] + (seconds * 1000));
+	const later = crashes.filter(at => at > crashes[crashesToIdentify - 1] + (seconds * 1000));
 	assert.ok(later.length <= most, `${later.length} times`);
 });
 
@@ -71,7 +71,7 @@
 });
 
 /* Lets targets crash by themselves at regular times, and then lets whoever asked last have its answer. */
-const crashAgain = async (fleet: CallFleet, everyMs: number, [from, until]: readonly [number, number], choose: () => FleetTarget[]): Promise<void> => {
+const crashRepeatedly = async (fleet: FleetSimulation, everyMs: number, [from, until]: readonly [number, number], choose: () => SimulatedTarget[]): Promise<void> => {
 	await fleet.pass(from);
 	while (fleet.now < until) {
 		for (const target of choose().filter(({isDown}) => !isDown)) {
@@ -84,7 +84,7 @@
 	await fleet.pass(until + 2000);
 };
 
-const countServedAtOnce = ({calls}: CallFleet, from: number, until: number): {readonly served: number; readonly asked: number} => {
+const countServedAtOnce = ({calls}: FleetSimulation, from: number, until: number): {readonly served: number; readonly asked: number} => {
 	const asked = calls.filter(({askedAt}) => askedAt >= from && askedAt < until);
 	return {asked: asked.length, served: asked.filter(({isServed, tries}) => isServed && tries === 1).length};
 };
@@ -92,14 +92,14 @@
 When('a target crashes by itself each {int} ms from second {int} to {int}', async function (this: SystemWorld, everyMs: number, fromSecond: number, untilSecond: number) {
 	const fleet = getFleet(this);
 	const span = [fromSecond * 1000, untilSecond * 1000] as const;
-	await crashAgain(fleet, everyMs, span, () => [fleet.targets[fleet.draw(fleet.targets.length)]]);
+	await crashRepeatedly(fleet, everyMs, span, () => [fleet.targets[fleet.draw(fleet.targets.length)]]);
 	this.notes.set('span', {from: span[0], until: span[1]});
 });
 
 When('all targets crash by themselves each {int} ms from second {int} to {int}', async function (this: SystemWorld, everyMs: number, fromSecond: number, untilSecond: number) {
 	const fleet = getFleet(this);
 	const span = [fromSecond * 1000, untilSecond * 1000] as const;
-	await crashAgain(fleet, everyMs, span, () => fleet.targets);
+	await crashRepeatedly(fleet, everyMs, span, () => fleet.targets);
 });
 
 Then('in the last {int} seconds at least {int} in {int} callers are served at once', function (this: SystemWorld, seconds: number, least: number, outOf: number) {
--- a/features/steps/call-fleet-steps.ts
+++ b/features/steps/fleet-simulation-steps.ts
@@ -1,28 +1,28 @@
 import assert from 'node:assert/strict';
 import {Given, Then, When} from '@cucumber/cucumber';
-import {CallFleet} from '../support/call-fleet.js';
-import {type FleetTarget} from '../support/fleet-target.js';
+import {FleetSimulation} from '../support/fleet-simulation.js';
+import {type SimulatedTarget} from '../support/simulated-target.js';
 import {type SystemWorld} from '../support/system-world.js';
 
 /** What is under way as a refusal is answered still reaches the target within this time, milliseconds. */
-const underWayMs = 500;
+const inFlightGraceMs = 500;
 /** An entry that has read that a target leaves sends it nothing after this time, milliseconds; it may have a second or two. */
-const leaveMs = 1000;
+const leaveGraceMs = 1000;
 /** Time between two troubles that are drawn, milliseconds. */
-const troubleMs = 250;
+const faultIntervalMs = 250;
 const slots = 8;
 const streamSeconds = 0.9;
 
-const getFleet = (world: SystemWorld): CallFleet => world.notes.get('fleet') as CallFleet;
+const getFleet = (world: SystemWorld): FleetSimulation => world.notes.get('fleet') as FleetSimulation;
 
 Given('{int} entries before {int} targets, and callers who need a third of them, seed {int}', function (this: SystemWorld, entries: number, targets: number, seed: number) {
-	this.notes.set('fleet', new CallFleet({
+	this.notes.set('fleet', new FleetSimulation({
 		entries, targets, requestsPerSecond: targets * slots / streamSeconds / 3, seed,
 	}));
 });
 
 Given('{int} entries before {int} targets, and callers who need {int} tenths of them, seed {int}', function (this: SystemWorld, entries: number, targets: number, tenths: number, seed: number) {
-	this.notes.set('fleet', new CallFleet({
+	this.notes.set('fleet', new FleetSimulation({
 		entries, targets, requestsPerSecond: targets * slots / streamSeconds * tenths / 10, seed,
 	}));
 });
@@ -30,7 +30,7 @@
 When('full targets ask for {int} ms rest for {int} seconds', async function (this: SystemWorld, restMs: number, seconds: number) {
 	const fleet = getFleet(this);
 	for (const target of fleet.targets) {
-		target.fullRestMs = restMs;
+		target.fullCooldownMs = restMs;
 	}
 
 	await fleet.pass(seconds * 1000);
@@ -47,13 +47,13 @@
 	assert.ok(served.length >= room * least / outOf, `${served.length} of ${Math.round(room)}`);
 });
 
-const playSpell = async (world: SystemWorld, count: number, seconds: readonly [number, number], restMs: number | undefined): Promise<void> => {
+const runRefusalPeriod = async (world: SystemWorld, count: number, seconds: readonly [number, number], restMs: number | undefined): Promise<void> => {
 	const fleet = getFleet(world);
 	const refusing = fleet.targets.slice(0, count);
 	const [from, until] = seconds.map(second => second * 1000);
 	await fleet.pass(from);
 	for (const target of refusing) {
-		target.refusal = {share: 1, restMs, lateMs: 0};
+		target.refusal = {share: 1, cooldownMs: restMs, delayMs: 0};
 	}
 
 	await fleet.pass(until);
@@ -68,19 +68,19 @@
 };
 
 When('{int} targets turn everything away from second {int} to {int}, asking for nothing', async function (this: SystemWorld, count: number, from: number, until: number) {
-	await playSpell(this, count, [from, until], undefined);
+	await runRefusalPeriod(this, count, [from, until], undefined);
 });
 
 When('{int} targets turn everything away from second {int} to {int}, asking for {int} ms rest', async function (this: SystemWorld, count: number, from: number, until: number, restMs: number) {
-	await playSpell(this, count, [from, until], restMs);
+	await runRefusalPeriod(this, count, [from, until], restMs);
 });
 
-const restart = (fleet: CallFleet, target: FleetTarget): void => {
+const restart = (fleet: FleetSimulation, target: SimulatedTarget): void => {
 	target.restart();
 	fleet.register();
 };
 
-const trouble = (fleet: CallFleet): void => {
+const injectFault = (fleet: FleetSimulation): void => {
 	const target = fleet.targets[fleet.draw(fleet.targets.length)];
 	switch (fleet.draw(6)) {
 		case 0: {
@@ -101,8 +101,8 @@
 		default: {
 			target.refusal = {
 				share: [0.4, 1][fleet.draw(2)],
-				restMs: [undefined, 0, 300, 1000, 3000, 6000][fleet.draw(6)],
-				lateMs: [0, 0, 0, 300][fleet.draw(4)],
+				cooldownMs: [undefined, 0, 300, 1000, 3000, 6000][fleet.draw(6)],
+				delayMs: [0, 0, 0, 300][fleet.draw(4)],
 			};
 		}
 	}
@@ -111,21 +111,21 @@
 When('targets turn requests away, ask for rests of drawn lengths, leave and start again for {int} seconds, as the seed has it', async function (this: SystemWorld, seconds: number) {
 	const fleet = getFleet(this);
 	while (fleet.now < seconds * 1000) {
-		await fleet.pass(fleet.now + troubleMs);
-		trouble(fleet);
+		await fleet.pass(fleet.now + faultIntervalMs);
+		injectFault(fleet);
 	}
 });
 
 Then('no target gets anything from an entry half a second after it has asked it for rest, until its end', function (this: SystemWorld) {
-	const {rests, arrivals} = getFleet(this);
-	const unkept = rests.filter(({pair, from, until}) => arrivals.some(arrival => arrival.pair === pair && arrival.at > from + underWayMs && arrival.at < until));
+	const {cooldowns: rests, arrivals} = getFleet(this);
+	const unkept = rests.filter(({pair, from, until}) => arrivals.some(arrival => arrival.pair === pair && arrival.at > from + inFlightGraceMs && arrival.at < until));
 	assert.deepEqual(unkept.slice(0, 3), [], `${unkept.length} of ${rests.length} rests are not kept`);
 });
 
 Then('no target gets anything from an entry a second after that has read that it leaves', function (this: SystemWorld) {
 	const {notices, arrivals} = getFleet(this);
 	assert.ok(notices.length > 0);
-	const unkept = notices.filter(({pair, at}) => arrivals.some(arrival => arrival.pair === pair && arrival.at > at + leaveMs));
+	const unkept = notices.filter(({pair, at}) => arrivals.some(arrival => arrival.pair === pair && arrival.at > at + leaveGraceMs));
 	assert.deepEqual(unkept.slice(0, 3), [], `${unkept.length} of ${notices.length}`);
 });
 
@@ -133,7 +133,7 @@
 	const {arrivals, targets} = getFleet(this);
 	const {from, until} = this.notes.get('span') as {from: number; until: number};
 	const meanwhile = arrivals.filter(({at}) => at >= from && at < until);
-	const refused = meanwhile.filter(({target}) => (this.notes.get('refusing') as FleetTarget[]).includes(target));
+	const refused = meanwhile.filter(({target}) => (this.notes.get('refusing') as SimulatedTarget[]).includes(target));
 	assert.ok(refused.length <= meanwhile.length * count / targets.length, `${refused.length} of ${meanwhile.length}`);
 });
 
@@ -150,7 +150,7 @@
 Then('those {int} get at least half of their share in the last {int} seconds', function (this: SystemWorld, count: number, seconds: number) {
 	const {arrivals, targets, now} = getFleet(this);
 	const late = arrivals.filter(({at}) => at >= now - (seconds * 1000));
-	const theirs = late.filter(({target}) => (this.notes.get('refusing') as FleetTarget[]).includes(target));
+	const theirs = late.filter(({target}) => (this.notes.get('refusing') as SimulatedTarget[]).includes(target));
 	assert.ok(theirs.length >= late.length * count / targets.length / 2, `${theirs.length} of ${late.length}`);
 });
 
--- a/features/steps/limit-steps.ts
+++ b/features/steps/limit-steps.ts
@@ -3,42 +3,42 @@
 import {TargetLimits} from '../../src/balance/target-limits.js';
 import {LimitPermits} from '../../src/forward/limit-permits.js';
 import {type HttpTarget} from '../../stand-ins/forward/http-target.js';
-import {type CallFleet} from '../support/call-fleet.js';
-import {type FleetTarget} from '../support/fleet-target.js';
+import {type FleetSimulation} from '../support/fleet-simulation.js';
+import {type SimulatedTarget} from '../support/simulated-target.js';
 import {type ForwardSystem} from '../support/forward-system.js';
 import {type SystemWorld} from '../support/system-world.js';
 
 /** A trouble that comes and goes, milliseconds. */
-type Spell = {readonly from: number; readonly until: number; readonly begin: (fleet: CallFleet) => void; readonly end: (fleet: CallFleet) => void};
+type FaultPeriod = {readonly from: number; readonly until: number; readonly begin: (fleet: FleetSimulation) => void; readonly end: (fleet: FleetSimulation) => void};
 /** What a life of a target has named from a moment on; undefined when nothing. */
 type Named = {readonly life: string; readonly at: number; readonly perSecond: number | undefined};
 type Answer = Awaited<ReturnType<ForwardSystem['call']>>;
-type Limited = {readonly targets: readonly FleetTarget[]; readonly perSecond: number; readonly from: number; readonly until: number};
+type Limited = {readonly targets: readonly SimulatedTarget[]; readonly perSecond: number; readonly from: number; readonly until: number};
 
 /** From then on after a target first names its limit, all entries keep to it, milliseconds. */
 const settleMs = 3000;
 const windowMs = 4000;
 /** What a target may get in a window: so many times what its limit allows, and so many requests more. */
-const allowedShare = 1.5;
-const allowedMore = 5;
+const limitFactor = 1.5;
+const limitAllowance = 5;
 /** Time between two troubles that are drawn, milliseconds. */
-const troubleMs = 400;
+const faultIntervalMs = 400;
 /** What a target named counts for so long after it has named something else, milliseconds: entries hear of it late. */
-const newsMs = 1000;
+const limitPropagationMs = 1000;
 
-const getFleet = (world: SystemWorld): CallFleet => world.notes.get('fleet') as CallFleet;
+const getFleet = (world: SystemWorld): FleetSimulation => world.notes.get('fleet') as FleetSimulation;
 const getLimited = (world: SystemWorld): Limited => world.notes.get('limited') as Limited;
 const getSystem = (world: SystemWorld): ForwardSystem => world.notes.get('forward') as ForwardSystem;
 const getTarget = (world: SystemWorld, number: number): HttpTarget => getSystem(world).targets.get(`target-${number}`)!;
 
 /* Moments at which a target got requests while its limit held, by all entries. */
-const listArrivals = (world: SystemWorld, target: FleetTarget): number[] => {
+const listArrivals = (world: SystemWorld, target: SimulatedTarget): number[] => {
 	const {from, until} = getLimited(world);
 	return getFleet(world).arrivals.filter(arrival => arrival.target === target && arrival.at >= from + settleMs && arrival.at < until).map(({at}) => at);
 };
 
 /* Lets time pass, with a trouble that comes and goes meanwhile. */
-const passWith = async (fleet: CallFleet, until: number, spell: Spell | undefined): Promise<void> => {
+const passWithFault = async (fleet: FleetSimulation, until: number, spell: FaultPeriod | undefined): Promise<void> => {
 	if (spell) {
 		await fleet.pass(spell.from);
 		spell.begin(fleet);
@@ -50,7 +50,7 @@
 };
 
 When('{int} of the entries and the others do not hear each other from second {int} to {int}', function (this: SystemWorld, count: number, from: number, until: number) {
-	const spell: Spell = {
+	const spell: FaultPeriod = {
 		from: from * 1000,
 		until: until * 1000,
 		begin(fleet) {
@@ -65,7 +65,7 @@
 
 When('links between entries take {int} ms each way from second {int} to {int}', function (this: SystemWorld, ms: number, from: number, until: number) {
 	const usualMs = getFleet(this).linkMs;
-	const spell: Spell = {
+	const spell: FaultPeriod = {
 		from: from * 1000,
 		until: until * 1000,
 		begin(fleet) {
@@ -93,7 +93,7 @@
 		target.limit = perSecond;
 	}
 
-	await passWith(fleet, until, this.notes.get('spell') as Spell | undefined);
+	await passWithFault(fleet, until, this.notes.get('spell') as FaultPeriod | undefined);
 	for (const target of targets) {
 		target.limit = undefined;
 	}
@@ -109,7 +109,7 @@
 
 Then('none of them gets more from all entries in any 4 seconds than one and a half times its limit and 5 requests', function (this: SystemWorld) {
 	const {targets, perSecond} = getLimited(this);
-	const most = (allowedShare * perSecond * windowMs / 1000) + allowedMore;
+	const most = (limitFactor * perSecond * windowMs / 1000) + limitAllowance;
 	for (const target of targets) {
 		const arrivals = listArrivals(this, target);
 		const windows = arrivals.map(start => arrivals.filter(at => at >= start && at < start + windowMs).length);
@@ -178,9 +178,9 @@
 	assert.ok(highest <= most * mean, `${highest} within ${ms} ms, ${mean} by the mean`);
 });
 
-const nameLife = ({target: {id, bornAt}}: FleetTarget): string => `${id} ${bornAt}`;
+const formatIncarnation = ({target: {id, bornAt}}: SimulatedTarget): string => `${id} ${bornAt}`;
 
-const trouble = (fleet: CallFleet): void => {
+const injectFault = (fleet: FleetSimulation): void => {
 	const target = fleet.targets[fleet.draw(fleet.targets.length)];
 	switch (fleet.draw(12)) {
 		case 0: {
@@ -222,9 +222,9 @@
 	const fleet = getFleet(this);
 	const named: Named[] = [];
 	while (fleet.now < seconds * 1000) {
-		await fleet.pass(fleet.now + troubleMs);
-		trouble(fleet);
-		named.push(...fleet.targets.map(target => ({life: nameLife(target), at: fleet.now, perSecond: target.limit})));
+		await fleet.pass(fleet.now + faultIntervalMs);
+		injectFault(fleet);
+		named.push(...fleet.targets.map(target => ({life: formatIncarnation(target), at: fleet.now, perSecond: target.limit})));
 	}
 
 	this.notes.set('named', named);
@@ -237,13 +237,13 @@
 	for (const life of new Set(named.map(entry => entry.life))) {
 		const lifeArrivals = arrivals.filter(({pair}) => pair.endsWith(` ${life}`)).map(({at}) => at);
 		for (const start of lifeArrivals) {
-			const during = named.filter(entry => entry.life === life && entry.at >= start - settleMs - troubleMs && entry.at < start + windowMs);
-			const hasNamed = during.length >= (settleMs + windowMs) / troubleMs && during.every(({perSecond}) => perSecond !== undefined);
+			const during = named.filter(entry => entry.life === life && entry.at >= start - settleMs - faultIntervalMs && entry.at < start + windowMs);
+			const hasNamed = during.length >= (settleMs + windowMs) / faultIntervalMs && during.every(({perSecond}) => perSecond !== undefined);
 			if (hasNamed) {
 				windows++;
-				const most = Math.max(...during.filter(({at}) => at >= start - newsMs - troubleMs).map(({perSecond}) => perSecond!));
+				const most = Math.max(...during.filter(({at}) => at >= start - limitPropagationMs - faultIntervalMs).map(({perSecond}) => perSecond!));
 				const got = lifeArrivals.filter(at => at >= start && at < start + windowMs).length;
-				assert.ok(got <= (allowedShare * most * windowMs / 1000) + allowedMore, `${life} got ${got} from ${start} ms on, at ${most} a second`);
+				assert.ok(got <= (limitFactor * most * windowMs / 1000) + limitAllowance, `${life} got ${got} from ${start} ms on, at ${most} a second`);
 			}
 		}
 	}
@@ -278,12 +278,12 @@
 
 Given('a target that has named {float} a second at {int} ms', function (this: SystemWorld, perSecond: number, now: number) {
 	const limits = new TargetLimits(String);
-	limits.note(life, {perSecond}, now, now);
+	limits.noteAnswer(life, {perSecond}, now, now);
 	this.notes.set('limits', limits);
 });
 
 When('an answer that names none comes at {int} ms to a request of {int} ms', function (this: SystemWorld, now: number, sentAt: number) {
-	(this.notes.get('limits') as TargetLimits).note(life, undefined, sentAt, now);
+	(this.notes.get('limits') as TargetLimits).noteAnswer(life, undefined, sentAt, now);
 });
 
 Then('the target takes {float} a second', function (this: SystemWorld, perSecond: number) {
@@ -298,7 +298,7 @@
 
 Given('an entry that hears another which keeps the permits of a target', function (this: SystemWorld) {
 	const limits = new TargetLimits(String);
-	limits.note(life, {perSecond: 1}, 0, 0);
+	limits.noteAnswer(life, {perSecond: 1}, 0, 0);
 	const entry: AskingEntry = {
 		now: 0,
 		asked: undefined,
--- a/features/steps/mesh-load-steps.ts
+++ b/features/steps/mesh-load-steps.ts
@@ -1,19 +1,19 @@
 import assert from 'node:assert/strict';
 import {Given, Then, When} from '@cucumber/cucumber';
-import {EntryCrowd} from '../support/entry-crowd.js';
+import {MeshSimulation} from '../support/mesh-simulation.js';
 import {type SystemWorld} from '../support/system-world.js';
 
-const getCrowd = (world: SystemWorld): EntryCrowd => world.notes.get('crowd') as EntryCrowd;
+const getSimulation = (world: SystemWorld): MeshSimulation => world.notes.get('crowd') as MeshSimulation;
 const bytesPerKilobyte = 1000;
 
 Given('{int} entries in {int} zones before {int} targets', function (this: SystemWorld, entries: number, zones: number, targets: number) {
-	this.notes.set('crowd', new EntryCrowd({
+	this.notes.set('crowd', new MeshSimulation({
 		entries, zones, targets, seed: 5,
 	}));
 });
 
 When('they serve for {int} seconds and then nothing begins or ends for {int} milliseconds', {timeout: 120_000}, async function (this: SystemWorld, seconds: number, quietMs: number) {
-	await getCrowd(this).run(seconds * 1000, quietMs, crowd => {
+	await getSimulation(this).run(seconds * 1000, quietMs, crowd => {
 		this.notes.set('sent each second', crowd.getMeanBytes() / seconds);
 	});
 });
@@ -24,5 +24,5 @@
 });
 
 Then('each counts all requests in flight', function (this: SystemWorld) {
-	assert.equal(getCrowd(this).countMistaken(), 0);
+	assert.equal(getSimulation(this).countWrongTotals(), 0);
 });
--- a/features/steps/stall-steps.ts
+++ b/features/steps/stall-steps.ts
@@ -3,10 +3,10 @@
 import {Socket} from 'node:net';
 import {Given, Then, When} from '@cucumber/cucumber';
 import {type Result} from 'neverthrow';
-import {LoadBoard} from '../../src/balance/load-board.js';
+import {InFlightCounts} from '../../src/balance/in-flight-counts.js';
 import {ProbeBudget} from '../../src/balance/probe-budget.js';
-import {RepeatBudget} from '../../src/balance/repeat-budget.js';
-import {ServiceGate} from '../../src/balance/service-gate.js';
+import {SharedRetryBudget} from '../../src/balance/shared-retry-budget.js';
+import {ServiceBreaker} from '../../src/balance/service-breaker.js';
 import {TargetHealth} from '../../src/balance/target-health.js';
 import {getUnit} from '../../src/fleet/get-unit.js';
 import {TargetDirectory} from '../../src/fleet/target-directory.js';
@@ -46,7 +46,7 @@
 	timesStopped = 0;
 	readonly aborts: AbortController[] = [];
 	readonly heldUp: boolean[] = [];
-	private readonly board = new LoadBoard();
+	private readonly board = new InFlightCounts();
 	private readonly watch = new StallWatch({
 		board: this.board,
 		health: new TargetHealth(),
@@ -69,13 +69,13 @@
 			const abort = new AbortController();
 			this.aborts.push(abort);
 			this.heldUp.push(false);
-			this.board.begin(target.id, this.now);
+			this.board.noteStart(target.id, this.now);
 			this.watches.push(this.watch.watch({target, abort, isHeldUp: () => this.heldUp[index]}));
 		}
 	}
 
 	progress(index: number): void {
-		this.board.progress(target.id, this.now);
+		this.board.noteProgress(target.id, this.now);
 		this.watches[index].progress();
 	}
 
@@ -161,8 +161,8 @@
 });
 
 Given('a service that has been down for {int} ms', function (this: SystemWorld, ms: number) {
-	const gate = new ServiceGate(String);
-	gate.close(route.destinations[0].service, -ms, 'as the scenario says');
+	const gate = new ServiceBreaker(String);
+	gate.noteDown(route.destinations[0].service, -ms, 'as the scenario says');
 	this.notes.set('gate', gate);
 });
 
@@ -170,7 +170,7 @@
 const ask = async (world: SystemWorld, hasLeft: boolean, targets: readonly Target[] = [target]): Promise<void> => {
 	const sent: string[] = [];
 	const clock = (): number => 0;
-	const board = new LoadBoard();
+	const board = new InFlightCounts();
 	const book = new TargetBook({
 		electEntry: () => '',
 		address: '', listPeers: () => [], countRegistered: () => 1, ask: () => false, clock, countInFlight: () => 0, onRefusal: String, onLeave: String, log: String,
@@ -187,9 +187,9 @@
 			check: async () => 'listens', health, isElected: () => true, onFound: String, clock, log: String,
 		}),
 		board,
-		gate: world.notes.get('gate') as ServiceGate,
+		gate: world.notes.get('gate') as ServiceBreaker,
 		probes: new ProbeBudget(),
-		budget: new RepeatBudget({
+		budget: new SharedRetryBudget({
 			ratio: 0.2, slack: 90, windowMs: 10_000, countEntries: () => 1,
 		}),
 		stalls: new StallWatch({
@@ -248,15 +248,15 @@
 });
 
 When('one request has been let through', function (this: SystemWorld) {
-	assert.ok((this.notes.get('gate') as ServiceGate).admit(target.service, 0));
+	assert.ok((this.notes.get('gate') as ServiceBreaker).admit(target.service, 0));
 });
 
 When('the first has met a target that is gone', function (this: SystemWorld) {
-	(this.notes.get('gate') as ServiceGate).excuse(target.service, 1);
+	(this.notes.get('gate') as ServiceBreaker).allowNextProbe(target.service, 1);
 });
 
 Then('the next {word} let through', function (this: SystemWorld, isLet: string) {
-	assert.equal((this.notes.get('gate') as ServiceGate).admit(target.service, 1), isLet === 'is');
+	assert.equal((this.notes.get('gate') as ServiceBreaker).admit(target.service, 1), isLet === 'is');
 });
 
 const members = (group: string): Target[] => [1, 2].map(number => ({
@@ -264,18 +264,18 @@
 }));
 
 Given('a service of two groups, the first of which has stopped {int} ms ago', function (this: SystemWorld, ms: number) {
-	const gate = new ServiceGate(String);
-	gate.close(getUnit(members('first')[0]), -ms, 'as the scenario says');
+	const gate = new ServiceBreaker(String);
+	gate.noteDown(getUnit(members('first')[0]), -ms, 'as the scenario says');
 	this.notes.set('gate', gate);
 	this.notes.set('targets', [...members('first'), ...members('second')]);
 });
 
 Given('the second has stopped as well', function (this: SystemWorld) {
-	(this.notes.get('gate') as ServiceGate).close(getUnit(members('second')[0]), 0, 'as the scenario says');
+	(this.notes.get('gate') as ServiceBreaker).noteDown(getUnit(members('second')[0]), 0, 'as the scenario says');
 });
 
 Given('the first has been formed anew', function (this: SystemWorld) {
-	(this.notes.get('gate') as ServiceGate).open(getUnit(members('first')[0]), 0);
+	(this.notes.get('gate') as ServiceBreaker).noteRunning(getUnit(members('first')[0]), 0);
 });
 
 When('a caller asks for the service', async function (this: SystemWorld) {
--- a/features/support/call-fleet.ts
+++ b/features/support/fleet-simulation.ts
@@ -10,7 +10,7 @@
 import {type SendOutcome} from '../../src/forward/send-outcome.js';
 import {type TargetTransport} from '../../src/forward/target-transport.js';
 import {type TransportListener} from '../../src/forward/transport-listener.js';
-import {FleetTarget} from './fleet-target.js';
+import {SimulatedTarget} from './simulated-target.js';
 
 type Path = ReturnType<typeof makeForwardPath>;
 type SendOptions = Parameters<TargetTransport['send']>[0];
@@ -26,24 +26,24 @@
 };
 
 /** One entry and one life of a target, named together. */
-type Pair = string;
+type EntryAndIncarnation = string;
 /** A request that has reached a target. */
-type Arrival = {readonly pair: Pair; readonly target: FleetTarget; readonly at: number; readonly isCrashing: boolean};
+type Arrival = {readonly pair: EntryAndIncarnation; readonly target: SimulatedTarget; readonly at: number; readonly isCrashing: boolean};
 /** What a target has asked an entry for, from when it answered. */
-type Rest = {readonly pair: Pair; readonly from: number; readonly until: number};
+type Cooldown = {readonly pair: EntryAndIncarnation; readonly from: number; readonly until: number};
 /** When an entry first read that a target leaves. */
-type Notice = {readonly pair: Pair; readonly at: number};
+type Notice = {readonly pair: EntryAndIncarnation; readonly at: number};
 /** A refusal: at which entry, when, how long that had taken, and when the caller was told to come back. */
 type Refusal = {readonly entry: number; readonly at: number; readonly afterMs: number; readonly returnAt: number};
 /** A caller's request: when it was asked first, how often, and whether it was served in the end. */
 type Call = {readonly askedAt: number; readonly body: Uint8Array<ArrayBuffer>; tries: number; isServed: boolean};
 
-const turnMs = 2;
+const stepMs = 2;
 const tickMs = 100;
 /** One way between an entry and a target. */
 const latencyMs = 2;
 /** Entries hear what the others have in flight so late. */
-const reportMs = 200;
+const reportIntervalMs = 200;
 /** A stream's first event comes after this time in a slot, the others one after the other, and it ends with the last. */
 const firstEventMs = 150;
 const eventMs = 75;
@@ -54,7 +54,7 @@
 /** The request that crashes its targets, as they begin to run it. */
 const crashingBody = new Uint8Array([255]);
 /** Callers keep to the time that they are told up to this share of what they have left. */
-const honouredShare = 1 / 3;
+const obeyedShare = 1 / 3;
 const slots = 8;
 const zones = 3;
 
@@ -72,9 +72,9 @@
 });
 
 /** Entries that send callers' streams to targets, all in memory and by one clock: the product's path without a network. */
-export class CallFleet {
+export class FleetSimulation {
 	now = 0;
-	readonly targets: FleetTarget[] = [];
+	readonly targets: SimulatedTarget[] = [];
 	/** One way between two entries. */
 	linkMs = latencyMs;
 	/** Whether callers' requests all look alike; each is another one if not. */
@@ -83,21 +83,21 @@
 	cutOff: ReadonlySet<number> = new Set();
 	readonly paths: Path[] = [];
 	readonly arrivals: Arrival[] = [];
-	readonly rests: Rest[] = [];
+	readonly cooldowns: Cooldown[] = [];
 	readonly notices: Notice[] = [];
 	readonly calls: Call[] = [];
 	readonly refusals: Refusal[] = [];
 	/** What entries log, of targets and in the lines of requests. */
 	readonly lines: string[] = [];
 	private readonly random: () => number;
-	private due: Array<{readonly at: number; readonly run: () => void}> = [];
+	private scheduled: Array<{readonly at: number; readonly run: () => void}> = [];
 	private nextCallAt = 0;
 
 	constructor(private readonly options: FleetOptions) {
 		const generator = xoroshiro128plus(options.seed);
 		this.random = () => uniformFloat64(generator);
 		for (let index = 0; index < options.targets; index++) {
-			this.targets.push(new FleetTarget({
+			this.targets.push(new SimulatedTarget({
 				id: `target-${index}`, service: 'desk', address: '10.0.0.1', port: index + 1, availabilityZone: `zone-${index % zones}`, slots, isLeaving: false, bornAt: 1,
 			}));
 		}
@@ -122,8 +122,8 @@
 	/** Lets time pass up to a moment, milliseconds, with callers that ask at the fleet's rate. */
 	async pass(until: number): Promise<void> {
 		while (this.now < until) {
-			this.now += turnMs;
-			this.turn();
+			this.now += stepMs;
+			this.step();
 			await yieldTurn();
 		}
 	}
@@ -137,7 +137,7 @@
 	}
 
 	/** A target crashes, and is back a little later. */
-	crashTarget(target: FleetTarget): void {
+	crashTarget(target: SimulatedTarget): void {
 		target.crash();
 		this.after(restartMs, () => {
 			target.restart();
@@ -150,14 +150,14 @@
 		return Math.floor(this.random() * count);
 	}
 
-	private turn(): void {
+	private step(): void {
 		if (this.now % tickMs === 0) {
 			for (const path of this.paths) {
 				path.tick();
 			}
 		}
 
-		if (this.now % reportMs === 0) {
+		if (this.now % reportIntervalMs === 0) {
 			this.exchangeReports();
 		}
 
@@ -171,8 +171,8 @@
 			void this.ask(call);
 		}
 
-		const ready = this.due.filter(({at}) => at <= this.now);
-		this.due = this.due.filter(({at}) => at > this.now);
+		const ready = this.scheduled.filter(({at}) => at <= this.now);
+		this.scheduled = this.scheduled.filter(({at}) => at > this.now);
 		for (const {run} of ready) {
 			run();
 		}
@@ -186,7 +186,7 @@
 
 	private report(index: number): void {
 		const {board} = this.paths[index];
-		const inFlight = board.getOwn();
+		const inFlight = board.getOwnCounts();
 		const news = this.paths[index].getDigest(false, this.now);
 		for (const [other, path] of this.paths.entries()) {
 			if (other !== index && this.isLinked(index, other)) {
@@ -236,7 +236,7 @@
 		this.refusals.push({
 			entry, at: this.now, afterMs: this.now - exchange.arrivedAt, returnAt: this.now + (result.error.options.retryAfterMs ?? 0),
 		});
-		const afterMs = Math.min(result.error.options.retryAfterMs ?? 0, (exchange.deadline - this.now) * honouredShare);
+		const afterMs = Math.min(result.error.options.retryAfterMs ?? 0, (exchange.deadline - this.now) * obeyedShare);
 		if (call.tries === 1) {
 			this.after(afterMs, () => {
 				void this.ask(call);
@@ -249,7 +249,7 @@
 	}
 
 	private after(ms: number, run: () => void): void {
-		this.due.push({at: this.now + ms, run});
+		this.scheduled.push({at: this.now + ms, run});
 	}
 
 	private openPath(entry: number): Path {
@@ -308,18 +308,18 @@
 				}
 
 				if (refused.marks.restMs !== undefined) {
-					this.rests.push({pair, from: this.now, until: this.now + refused.marks.restMs});
+					this.cooldowns.push({pair, from: this.now, until: this.now + refused.marks.restMs});
 				}
 
-				this.after(latencyMs + refused.lateMs, () => {
-					this.tell(pair, {target: options.target, sentAt}, refused.marks, listener);
+				this.after(latencyMs + refused.delayMs, () => {
+					this.deliverHead(pair, {target: options.target, sentAt}, refused.marks, listener);
 					resolve(refused.outcome);
 				});
 			});
 		});
 	}
 
-	private serve(target: FleetTarget, pair: Pair, {target: meant, exchange, delivery, signal, onProgress}: SendOptions, {sentAt, listener, resolve}: Receiver): void {
+	private serve(target: SimulatedTarget, pair: EntryAndIncarnation, {target: meant, exchange, delivery, signal, onProgress}: SendOptions, {sentAt, listener, resolve}: Receiver): void {
 		const sent = {target: meant, sentAt};
 		const state: {isLost: boolean; answeredAt?: number} = {isLost: false};
 		const end = target.run(() => {
@@ -334,7 +334,7 @@
 				return;
 			}
 
-			this.tell(pair, sent, target.marks, listener);
+			this.deliverHead(pair, sent, target.marks, listener);
 			state.answeredAt = this.now;
 			delivery.start(200, []);
 			if (exchange.body === crashingBody) {
@@ -356,7 +356,7 @@
 		});
 	}
 
-	private tell(pair: Pair, {target, sentAt}: Sent, marks: AnswerMarks, listener: TransportListener): void {
+	private deliverHead(pair: EntryAndIncarnation, {target, sentAt}: Sent, marks: AnswerMarks, listener: TransportListener): void {
 		listener.onHead(target, marks, sentAt);
 		if (marks.isLeaving) {
 			this.notices.push({pair, at: this.now});
--- a/features/support/entry-crowd.ts
+++ b/features/support/mesh-simulation.ts
@@ -2,7 +2,7 @@
 import {setImmediate as yieldTurn} from 'node:timers/promises';
 import {uniformFloat64} from 'pure-rand/distribution/uniformFloat64';
 import {xoroshiro128plus} from 'pure-rand/generator/xoroshiro128plus';
-import {LoadBoard} from '../../src/balance/load-board.js';
+import {InFlightCounts} from '../../src/balance/in-flight-counts.js';
 import {EntryMesh} from '../../src/mesh/entry-mesh.js';
 import {StoreView} from '../../src/view/store-view.js';
 import {unguarded} from '../../src/view/unguarded.js';
@@ -12,37 +12,37 @@
 type Member = {
 	readonly address: string;
 	readonly availabilityZone: string;
-	readonly board: LoadBoard;
+	readonly board: InFlightCounts;
 	readonly mesh: EntryMesh;
 	/** Requests under way: their targets, and when they end. */
 	running: Array<{readonly target: string; readonly endsAt: number}>;
 	nextRequestAt: number;
 };
 
-type CrowdOptions = {readonly entries: number; readonly zones: number; readonly targets: number; readonly seed: number};
+type SimulationOptions = {readonly entries: number; readonly zones: number; readonly targets: number; readonly seed: number};
 
-const turnMs = 5;
+const stepMs = 5;
 const tickMs = 100;
 /* What entries of a larger customer do: six requests a second each, which last for 1.3 s. */
-const requestMs = 160;
-const lastsMs = 1300;
+const requestIntervalMs = 160;
+const durationMs = 1300;
 const bytesPerSecond = 5_000_000;
 
 /** Entries in several zones that tell each other what they have in flight, joined by links in memory. */
-export class EntryCrowd {
+export class MeshSimulation {
 	now = 0;
 	readonly members: Member[] = [];
 	private isBusy = true;
 	private readonly random: () => number;
 	private readonly network = new NarrowNetwork({bytesPerSecond, latencyMs: 2, clock: () => this.now});
 
-	constructor(private readonly options: CrowdOptions) {
+	constructor(private readonly options: SimulationOptions) {
 		const generator = xoroshiro128plus(options.seed);
 		this.random = () => uniformFloat64(generator);
 	}
 
 	/** Lets all entries meet and serve for so long, and then be quiet for the rest. */
-	async run(busyMs: number, quietMs: number, onQuiet: (crowd: EntryCrowd) => void): Promise<void> {
+	async run(busyMs: number, quietMs: number, onQuiet: (crowd: MeshSimulation) => void): Promise<void> {
 		mock.timers.enable({apis: ['setTimeout', 'setInterval']});
 		try {
 			for (let index = 0; index < this.options.entries; index++) {
@@ -50,7 +50,7 @@
 			}
 
 			for (const {mesh} of this.members) {
-				mesh.meet(this.members.map(({address}) => address));
+				mesh.addPeers(this.members.map(({address}) => address));
 			}
 
 			await this.pass(busyMs);
@@ -73,13 +73,13 @@
 	}
 
 	/** Pairs of entries of which the one counts other requests of all than are in flight. */
-	countMistaken(): number {
+	countWrongTotals(): number {
 		const totals = this.members.map(({board}) => this.sum(board));
 		const inFlight = this.members.flatMap(({running}) => running).length;
 		return totals.filter(total => total !== inFlight).length;
 	}
 
-	private sum(board: LoadBoard): number {
+	private sum(board: InFlightCounts): number {
 		let total = 0;
 		for (let target = 0; target < this.options.targets; target++) {
 			total += board.count(`i-target-${target}`, this.now);
@@ -90,12 +90,12 @@
 
 	private async pass(ms: number): Promise<void> {
 		for (const end = this.now + ms; this.now < end;) {
-			this.now += turnMs;
+			this.now += stepMs;
 			for (const member of this.members) {
 				this.serve(member);
 			}
 
-			mock.timers.tick(turnMs);
+			mock.timers.tick(stepMs);
 			await yieldTurn();
 		}
 	}
@@ -112,15 +112,15 @@
 		}
 
 		for (const {target} of member.running.filter(({endsAt}) => endsAt <= this.now)) {
-			board.end(target);
+			board.noteEnd(target);
 		}
 
 		member.running = member.running.filter(({endsAt}) => endsAt > this.now);
 		if (this.now >= member.nextRequestAt) {
 			const target = `i-target-${Math.floor(this.random() * this.options.targets)}`;
-			board.begin(target, this.now);
-			member.running.push({target, endsAt: this.now + lastsMs});
-			member.nextRequestAt = this.now + (requestMs * 2 * this.random());
+			board.noteStart(target, this.now);
+			member.running.push({target, endsAt: this.now + durationMs});
+			member.nextRequestAt = this.now + (requestIntervalMs * 2 * this.random());
 		}
 	}
 
@@ -128,7 +128,7 @@
 		const address = `10.0.${index}.1:1`;
 		const availabilityZone = `zone-${index % this.options.zones}`;
 		const clock = (): number => this.now;
-		const board = new LoadBoard(() => {
+		const board = new InFlightCounts(() => {
 			mesh.reportSoon();
 		});
 		const mesh: EntryMesh = new EntryMesh({
--- a/features/support/open-store-entry.ts
+++ b/features/support/open-store-entry.ts
@@ -36,7 +36,7 @@
 		},
 		log,
 		address,
-		listPeers: now => state.mesh.listHeard(now),
+		listPeers: now => state.mesh.listLivePeers(now),
 		ask: () => false,
 		openTransport: () => ({
 			send: async () => ({kind: 'not-run', reason: 'not sent', wasSent: false}),
--- a/features/support/fleet-target.ts
+++ b/features/support/simulated-target.ts
@@ -6,22 +6,22 @@
 	/** Share of the requests that are turned away. */
 	readonly share: number;
 	/** Rest that is asked for; undefined when none is. */
-	readonly restMs: number | undefined;
+	readonly cooldownMs: number | undefined;
 	/** How late it answers. */
-	readonly lateMs: number;
+	readonly delayMs: number;
 };
 
-type Refused = {readonly marks: AnswerMarks; readonly outcome: SendOutcome; readonly lateMs: number};
+type Refused = {readonly marks: AnswerMarks; readonly outcome: SendOutcome; readonly delayMs: number};
 
 /** Requests that wait at a target beyond its slots before it turns the next away. */
 const queueLength = 4;
 
 /** A target in memory: it serves as many requests as it has slots, or turns them away as it is told to. */
-export class FleetTarget {
+export class SimulatedTarget {
 	running = 0;
 	refusal: Refusal | undefined;
 	/** Rest that it asks for when it is full; undefined when it asks for none. */
-	fullRestMs: number | undefined;
+	fullCooldownMs: number | undefined;
 	/** Requests per second that it takes from all entries together, as its answers say; undefined when it names none. */
 	limit: number | undefined;
 	/** Whether it has crashed and is not back yet: nobody listens at its address. */
@@ -59,9 +59,9 @@
 			return undefined;
 		}
 
-		const restMs = isRefusing ? this.refusal!.restMs : this.fullRestMs;
+		const restMs = isRefusing ? this.refusal!.cooldownMs : this.fullCooldownMs;
 		return {
-			lateMs: this.refusal?.lateMs ?? 0,
+			delayMs: this.refusal?.delayMs ?? 0,
 			marks: {
 				...this.marks, status: 503, isNotRun: true, restMs, retryAfter: restMs === undefined ? undefined : String(restMs / 1000),
 			},
--- a/src/balance/choose-replica.ts
+++ b/src/balance/choose-replica.ts
@@ -1,5 +1,5 @@
 import {type Target} from '../fleet/target.js';
-import {type TargetStanding} from './target-standing.js';
+import {type BreakerState} from './breaker-state.js';
 
 type ChoiceOptions = {
 	readonly targets: readonly Target[];
@@ -7,18 +7,18 @@
 	readonly excluded: ReadonlySet<string>;
 	readonly availabilityZone: string;
 	/** Requests in flight at a target over all entries. */
-	readonly count: (target: string) => number;
-	readonly getStanding: (target: string) => TargetStanding;
+	readonly countInFlight: (target: string) => number;
+	readonly getBreakerState: (target: string) => BreakerState;
 	/** When a target last began to answer, milliseconds; undefined when it never has. */
 	readonly getServedAt: (target: string) => number | undefined;
 	/** Share of a target's recent requests that failed. */
 	readonly getFailureRate: (target: string) => number;
 	/** Recent time for a whole answer, milliseconds; 0 when none is known. */
-	readonly getLatency: (target: string) => number;
+	readonly getLatencyMs: (target: string) => number;
 	/** Requests beyond a target's slots that may wait at it. */
 	readonly queueLength: number;
 	/** Whether the request was sent to a target before: it goes where others have lately been served. */
-	readonly isRepeat: boolean;
+	readonly isRetry: boolean;
 	/** Whether this request may be the one that sees whether a doubtful target takes requests again. */
 	readonly mayProbe: () => boolean;
 	readonly random: () => number;
@@ -32,13 +32,13 @@
 type Choice = Chosen | Full | None;
 
 /** A target in another zone counts as this much fuller, in slots' share: only near ties stay in the zone. */
-const zonePenalty = 0.06;
+const remoteZonePenalty = 0.06;
 /** A target that always fails counts as this much fuller than one that never does, in slots' share. */
 const failurePenalty = 2;
 /** A target that takes twice as long as the fastest counts as this much fuller, in slots' share. */
-const slowPenalty = 0.5;
+const latencyPenalty = 0.5;
 /** Near ties are broken at random within this share of the slots, so that entries do not all pick the same target. */
-const tieShare = 0.05;
+const tieBreakShare = 0.05;
 
 /**
  * Chooses the target with the most room, seen over all entries, and tells full from absent. One that has lately refused looks the
@@ -50,30 +50,30 @@
 		return {kind: 'none'};
 	}
 
-	const standings = new Map(open.map(target => [target, options.getStanding(target.id)]));
-	const sound = open.filter(target => standings.get(target) === 'sound');
-	const doubtful = open.filter(target => standings.get(target) === 'doubtful');
+	const states = new Map(open.map(target => [target, options.getBreakerState(target.id)]));
+	const sound = open.filter(target => states.get(target) === 'sound');
+	const doubtful = open.filter(target => states.get(target) === 'doubtful');
 	const isProbe = doubtful.length > 0 && options.mayProbe();
 	const isAnyReachable = sound.length + doubtful.length > 0;
-	const target = (isProbe ? findEmptiest(doubtful, options) : undefined)
-		?? (options.isRepeat ? findLastServing(sound, options) : undefined)
-		?? findEmptiest(sound, options)
-		?? findEmptiest(isAnyReachable ? doubtful : open, options);
+	const target = (isProbe ? findLeastLoaded(doubtful, options) : undefined)
+		?? (options.isRetry ? findMostRecentlyServing(sound, options) : undefined)
+		?? findLeastLoaded(sound, options)
+		?? findLeastLoaded(isAnyReachable ? doubtful : open, options);
 	return target ? {kind: 'chosen', target} : {kind: 'full'};
 }
 
-const hasRoom = ({id, slots}: Target, {count, queueLength}: ChoiceOptions): boolean => count(id) < slots + queueLength;
+const hasRoom = ({id, slots}: Target, {countInFlight: count, queueLength}: ChoiceOptions): boolean => count(id) < slots + queueLength;
 
 /*
  * What one target refused, another may refuse as well: the one that began to answer last is least likely to.
  */
-function findLastServing(targets: readonly Target[], options: ChoiceOptions): Target | undefined {
+function findMostRecentlyServing(targets: readonly Target[], options: ChoiceOptions): Target | undefined {
 	const serving = targets.filter(target => options.getServedAt(target.id) !== undefined && hasRoom(target, options));
 	return serving.toSorted((one, other) => options.getServedAt(other.id)! - options.getServedAt(one.id)!).at(0);
 }
 
-function findEmptiest(targets: readonly Target[], options: ChoiceOptions): Target | undefined {
-	const fastest = findFastest(targets, options.getLatency);
+function findLeastLoaded(targets: readonly Target[], options: ChoiceOptions): Target | undefined {
+	const fastest = findFastest(targets, options.getLatencyMs);
 	let best: Target | undefined;
 	let bestScore = Number.POSITIVE_INFINITY;
 	for (const target of targets) {
@@ -81,7 +81,7 @@
 			continue;
 		}
 
-		const score = (options.count(target.id) / target.slots) + rateTarget(target, fastest, options) + (options.random() * tieShare);
+		const score = (options.countInFlight(target.id) / target.slots) + getPenalty(target, fastest, options) + (options.random() * tieBreakShare);
 		if (score < bestScore) {
 			best = target;
 			bestScore = score;
@@ -104,10 +104,10 @@
 }
 
 /* How much fuller a target counts than it is, for what is known against it. */
-function rateTarget(target: Target, fastestMs: number, options: ChoiceOptions): number {
-	const zone = target.availabilityZone === options.availabilityZone ? 0 : zonePenalty;
+function getPenalty(target: Target, fastestMs: number, options: ChoiceOptions): number {
+	const zone = target.availabilityZone === options.availabilityZone ? 0 : remoteZonePenalty;
 	const failures = failurePenalty * options.getFailureRate(target.id);
-	const latencyMs = options.getLatency(target.id);
-	const slowness = latencyMs > fastestMs ? slowPenalty * Math.log2(latencyMs / fastestMs) : 0;
+	const latencyMs = options.getLatencyMs(target.id);
+	const slowness = latencyMs > fastestMs ? latencyPenalty * Math.log2(latencyMs / fastestMs) : 0;
 	return zone + failures + slowness;
 }
--- a/src/balance/crash-suspects.ts
+++ b/src/balance/crash-suspects.ts
@@ -2,9 +2,9 @@
 import {type CrashDigest} from './crash-digest.js';
 
 /** One life of a target. */
-type Life = Pick<Target, 'id' | 'bornAt'>;
-type Lost = {readonly fingerprint: string; readonly life: Life; readonly hasJustBegun: boolean};
-type Loss = Lost & {readonly at: number};
+type Incarnation = Pick<Target, 'id' | 'bornAt'>;
+type LostRequest = {readonly fingerprint: string; readonly incarnation: Incarnation; readonly hasJustBegun: boolean};
+type LossRecord = LostRequest & {readonly at: number};
 /** Lives that have crashed as they ran the request, and whether they had just begun to. */
 type Suspect = {readonly lives: Map<string, boolean>; blockedUntil: number; changedAt: number; seenAt: number};
 
@@ -12,7 +12,7 @@
  * A request whose target crashed may have been one of several that ran there. So many targets that crashed as they had just begun to run
  * it accuse it, or so many at all: one that has run for longer may have met the crash of another.
  */
-const beginsToBlock = 2;
+const earlyCrashesToBlock = 2;
 const crashesToBlock = 5;
 /**
  * How long a request that has crashed so many targets is refused, milliseconds; from the third one on, each crash doubles it. The
@@ -20,26 +20,26 @@
  */
 const firstBlockMs = 10_000;
 const secondBlockMs = 120_000;
-const longestBlockMs = 3_600_000;
+const maximumBlockMs = 3_600_000;
 /** A target that has crashed shows a new life within this time, milliseconds; what was lost there before is laid to something else. */
-const lossMemoryMs = 10_000;
+const lossRetentionMs = 10_000;
 /** Peers are told what is new for so long, milliseconds: two of the longest times between two reports, and more. */
-const newsMs = 3000;
+const digestRetentionMs = 3000;
 /** Suspects that have neither come nor crashed a target for so long are forgotten, milliseconds. */
-const suspectMemoryMs = 3_600_000;
+const suspectRetentionMs = 3_600_000;
 /** Suspects, losses, and requests that are known to be answered, that are kept at most; of more the oldest go. */
-const mostSuspects = 1000;
-const mostLosses = 1000;
-const mostAnswered = 4096;
+const maximumSuspects = 1000;
+const maximumLosses = 1000;
+const maximumAnswered = 4096;
 /** Suspects that one report names at most. */
-const mostTold = 40;
+const maximumDigestItems = 40;
 /** Lives that are kept of one suspect. */
-const mostLives = 8;
+const maximumIncarnations = 8;
 
-const nameLife = ({id, bornAt}: Life): string => bornAt === undefined ? id : `${id} ${bornAt}`;
-const countBegins = ({lives}: Pick<Suspect, 'lives'>): number => [...lives.values()].filter(Boolean).length;
-const isSuspected = (suspect: Pick<Suspect, 'lives'>): boolean => countBegins(suspect) >= beginsToBlock || suspect.lives.size >= crashesToBlock;
-const dropOldest = (kept: Map<string, unknown> | Set<string>, most: number): void => {
+const formatIncarnation = ({id, bornAt}: Incarnation): string => bornAt === undefined ? id : `${id} ${bornAt}`;
+const countEarlyCrashes = ({lives}: Pick<Suspect, 'lives'>): number => [...lives.values()].filter(Boolean).length;
+const isSuspected = (suspect: Pick<Suspect, 'lives'>): boolean => countEarlyCrashes(suspect) >= earlyCrashesToBlock || suspect.lives.size >= crashesToBlock;
+const evictOldest = (kept: Map<string, unknown> | Set<string>, most: number): void => {
 	const [oldest] = kept.keys();
 	if (kept.size > most) {
 		kept.delete(oldest);
@@ -58,7 +58,7 @@
 	private readonly answered = new Set<string>();
 	/** Requests that were cleared of a suspicion, and when. */
 	private readonly cleared = new Map<string, number>();
-	private losses: Loss[] = [];
+	private losses: LossRecord[] = [];
 
 	constructor(private readonly log: (message: string) => void) {}
 
@@ -95,22 +95,22 @@
 	noteAnswered(fingerprint: string, now: number): void {
 		this.answered.delete(fingerprint);
 		this.answered.add(fingerprint);
-		dropOldest(this.answered, mostAnswered);
+		evictOldest(this.answered, maximumAnswered);
 		this.clear(fingerprint, now);
 	}
 
 	/** Notes that a request's connection ended before its answer; what for, its target's next life may tell. */
-	noteLoss(lost: Lost, now: number): void {
-		this.losses = this.losses.filter(({at}) => now - at <= lossMemoryMs).slice(-mostLosses);
+	noteLoss(lost: LostRequest, now: number): void {
+		this.losses = this.losses.filter(({at}) => now - at <= lossRetentionMs).slice(-maximumLosses);
 		this.losses.push({...lost, at: now});
 	}
 
 	/** Notes that a target has crashed: what it ran was lost by that. Gives whether that accuses any request. */
 	noteCrash(target: string, now: number): boolean {
-		const lost = this.losses.filter(({life, at}) => life.id === target && now - at <= lossMemoryMs);
+		const lost = this.losses.filter(({incarnation: life, at}) => life.id === target && now - at <= lossRetentionMs);
 		this.losses = this.losses.filter(loss => !lost.includes(loss));
-		for (const {fingerprint, life, hasJustBegun} of lost) {
-			this.addCrashes(fingerprint, [[nameLife(life), hasJustBegun]], now);
+		for (const {fingerprint, incarnation: life, hasJustBegun} of lost) {
+			this.addCrashes(fingerprint, [[formatIncarnation(life), hasJustBegun]], now);
 		}
 
 		return lost.length > 0;
@@ -122,8 +122,8 @@
 	 * @param isWhole - whether the peer may have heard nothing yet
 	 */
 	getDigest(isWhole: boolean, now: number): CrashDigest {
-		const told = [...this.suspects].filter(([, {changedAt, blockedUntil}]) => now - changedAt <= newsMs || (isWhole && blockedUntil > now)).slice(-mostTold);
-		const cleared = [...this.cleared].filter(([, at]) => now - at <= newsMs).slice(-mostTold).map(([fingerprint]) => fingerprint);
+		const told = [...this.suspects].filter(([, {changedAt, blockedUntil}]) => now - changedAt <= digestRetentionMs || (isWhole && blockedUntil > now)).slice(-maximumDigestItems);
+		const cleared = [...this.cleared].filter(([, at]) => now - at <= digestRetentionMs).slice(-maximumDigestItems).map(([fingerprint]) => fingerprint);
 		return {
 			...(told.length > 0 && {
 				suspects: Object.fromEntries(told.map(([fingerprint, {lives}]) => [fingerprint, [...lives.keys()]])),
@@ -147,13 +147,13 @@
 	/** Forgets what is old. */
 	tick(now: number): void {
 		for (const [fingerprint, {seenAt}] of this.suspects) {
-			if (now - seenAt > suspectMemoryMs) {
+			if (now - seenAt > suspectRetentionMs) {
 				this.suspects.delete(fingerprint);
 			}
 		}
 
 		for (const [fingerprint, at] of this.cleared) {
-			if (now - at > newsMs) {
+			if (now - at > digestRetentionMs) {
 				this.cleared.delete(fingerprint);
 			}
 		}
@@ -171,11 +171,11 @@
 		const isNew = lives.some(([life]) => !suspect.lives.has(life));
 		for (const [life, hasJustBegun] of lives) {
 			suspect.lives.set(life, hasJustBegun);
-			dropOldest(suspect.lives, mostLives);
+			evictOldest(suspect.lives, maximumIncarnations);
 		}
 
 		this.suspects.set(fingerprint, suspect);
-		dropOldest(this.suspects, mostSuspects);
+		evictOldest(this.suspects, maximumSuspects);
 		if (isNew) {
 			suspect.changedAt = now;
 			suspect.seenAt = now;
@@ -188,8 +188,8 @@
 			return;
 		}
 
-		const more = countBegins(suspect) - beginsToBlock;
-		const blockMs = more <= 0 ? firstBlockMs : Math.min(longestBlockMs, secondBlockMs * (2 ** (more - 1)));
+		const more = countEarlyCrashes(suspect) - earlyCrashesToBlock;
+		const blockMs = more <= 0 ? firstBlockMs : Math.min(maximumBlockMs, secondBlockMs * (2 ** (more - 1)));
 		suspect.blockedUntil = now + blockMs;
 		this.log(`request ${fingerprint} is refused for ${blockMs} ms: targets crashed as they ran it (${[...suspect.lives.keys()].join(', ')})`);
 	}
--- a/src/balance/load-board.ts
+++ b/src/balance/in-flight-counts.ts
@@ -1,19 +1,19 @@
-type Own = {requests: number; lastProgressAt: number; lastStartAt: number};
+type OwnLoad = {requests: number; lastProgressAt: number; lastStartAt: number};
 type PeerLoad = {readonly at: number; readonly inFlight: Readonly<Record<string, number>>};
 
 /** What a peer said of its requests counts for so long after it was heard last, milliseconds; streams last a few seconds. */
-const peerMemoryMs = 3000;
+const peerCountsLifetimeMs = 3000;
 
 /** Requests in flight at each target: this entry's own, exactly, and those of its peers as last heard. */
-export class LoadBoard {
-	private readonly own = new Map<string, Own>();
+export class InFlightCounts {
+	private readonly own = new Map<string, OwnLoad>();
 	private readonly peers = new Map<string, PeerLoad>();
 
 	/** @param onChange - called when this entry's own counts change */
 	constructor(private readonly onChange: () => void = () => undefined) {}
 
 	/** Notes a request that is sent to a target. */
-	begin(target: string, now: number): void {
+	noteStart(target: string, now: number): void {
 		const entry = this.own.get(target) ?? {requests: 0, lastProgressAt: now, lastStartAt: now};
 		if (entry.requests === 0) {
 			entry.lastProgressAt = now;
@@ -26,7 +26,7 @@
 	}
 
 	/** Notes that the target sent something. */
-	progress(target: string, now: number): void {
+	noteProgress(target: string, now: number): void {
 		const entry = this.own.get(target);
 		if (entry) {
 			entry.lastProgressAt = now;
@@ -34,7 +34,7 @@
 	}
 
 	/** Notes the end of a request. */
-	end(target: string): void {
+	noteEnd(target: string): void {
 		const entry = this.own.get(target);
 		if (entry) {
 			entry.requests--;
@@ -43,7 +43,7 @@
 	}
 
 	/** Milliseconds for which a target with requests of this entry has sent nothing; 0 when it has none. */
-	getSilence(target: string, now: number): number {
+	getSilenceMs(target: string, now: number): number {
 		const entry = this.own.get(target);
 		return entry && entry.requests > 0 ? now - entry.lastProgressAt : 0;
 	}
@@ -57,7 +57,7 @@
 	count(target: string, now: number): number {
 		let requests = this.own.get(target)?.requests ?? 0;
 		for (const [peer, {at, inFlight}] of this.peers) {
-			if (now - at > peerMemoryMs) {
+			if (now - at > peerCountsLifetimeMs) {
 				this.peers.delete(peer);
 			} else {
 				requests += inFlight[target] ?? 0;
@@ -68,12 +68,12 @@
 	}
 
 	/** Peers that were heard lately. */
-	countPeers(now: number): number {
-		return [...this.peers.values()].filter(({at}) => now - at <= peerMemoryMs).length;
+	countLivePeers(now: number): number {
+		return [...this.peers.values()].filter(({at}) => now - at <= peerCountsLifetimeMs).length;
 	}
 
 	/** This entry's own requests by target, for its peers. */
-	getOwn(): Record<string, number> {
+	getOwnCounts(): Record<string, number> {
 		const inFlight: Record<string, number> = {};
 		for (const [target, {requests}] of this.own) {
 			if (requests > 0) {
--- a/src/balance/limit-buckets.ts
+++ b/src/balance/limit-buckets.ts
@@ -8,7 +8,7 @@
 	/** Requests per second that the target takes from all entries together. */
 	readonly perSecond: number;
 	/** Part of it that is given out here, 0 to 1. */
-	readonly part: number;
+	readonly share: number;
 };
 
 type Bucket = {readonly tokens: TokenBucket; takenAt: number};
@@ -17,7 +17,7 @@
  * Least rate at which a limited target gets requests, per second. It is its answers that tell that a limit has ended, so one that
  * takes nothing gets a request now and then.
  */
-const leastPerSecond = 0.2;
+const minimumPerSecond = 0.2;
 /** Permits that nobody wanted gather for so long, seconds, and one at least: demand is uneven. */
 const burstSeconds = 0.25;
 /** A bucket from which nothing was taken for so long is dropped, milliseconds. */
@@ -28,8 +28,8 @@
 	private readonly buckets = new Map<string, Bucket>();
 
 	/** Takes a permit for one request. */
-	take({target, perSecond, part}: Limit, now: number): Permit {
-		const rate = Math.max(leastPerSecond, perSecond) * part;
+	take({target, perSecond, share: part}: Limit, now: number): Permit {
+		const rate = Math.max(minimumPerSecond, perSecond) * part;
 		const {tokens} = this.get(target, rate, now);
 		const waitMs = tokens.getWaitMs(1, now);
 		if (waitMs > 0) {
--- a/src/balance/service-gate.ts
+++ b/src/balance/service-breaker.ts
@@ -1,36 +1,36 @@
 type Outage = {readonly since: number; nextProbeAt: number; retryAt: number};
 
 /** Time between two requests that are let through to see whether a service that is down runs again, milliseconds. */
-const probeMs = 300;
+const probeIntervalMs = 300;
 /**
  * Time for which a group gets nothing while others of its service run, milliseconds, unless it is known to run again. What is
  * sent to a group that has stopped is held for its stall time, and then goes on late.
  */
-const groupRetryMs = 2000;
+const groupBackoffMs = 2000;
 
 /**
  * Keeps requests from targets that depend on each other and are all stopped, as a group of ranks is while one of them is
  * lost: a group where it is known, a whole service otherwise. One request now and then is let through to see whether it
  * runs again.
  */
-export class ServiceGate {
+export class ServiceBreaker {
 	private readonly outages = new Map<string, Outage>();
 
 	constructor(private readonly log: (message: string) => void) {}
 
 	/** Notes that a service does not run, and how that is known. */
-	close(service: string, now: number, cause: string): void {
+	noteDown(service: string, now: number, cause: string): void {
 		const outage = this.outages.get(service);
 		if (outage) {
-			outage.retryAt = now + groupRetryMs;
+			outage.retryAt = now + groupBackoffMs;
 		} else {
-			this.outages.set(service, {since: now, nextProbeAt: now + probeMs, retryAt: now + groupRetryMs});
+			this.outages.set(service, {since: now, nextProbeAt: now + probeIntervalMs, retryAt: now + groupBackoffMs});
 			this.log(`service ${service} is down: ${cause}`);
 		}
 	}
 
 	/** Notes that a target of the service does its work. */
-	open(service: string, now: number): void {
+	noteRunning(service: string, now: number): void {
 		const outage = this.outages.get(service);
 		if (!outage) {
 			return;
@@ -46,7 +46,7 @@
 	}
 
 	/** Notes that the request let through told nothing of the service, so that the next may take its place. */
-	excuse(service: string, now: number): void {
+	allowNextProbe(service: string, now: number): void {
 		const outage = this.outages.get(service);
 		if (outage) {
 			outage.nextProbeAt = now;
@@ -64,7 +64,7 @@
 			return false;
 		}
 
-		outage.nextProbeAt = now + probeMs;
+		outage.nextProbeAt = now + probeIntervalMs;
 		return true;
 	}
 }
--- a/src/balance/repeat-budget.ts
+++ b/src/balance/shared-retry-budget.ts
@@ -14,27 +14,27 @@
 /** Parts of a window that are counted by themselves. */
 const bucketsPerWindow = 20;
 /** Share of the budget that this entry's part is reckoned from; the rest covers entries that see one another late. */
-const caution = 0.8;
+const budgetShare = 0.8;
 
 /**
  * Keeps the sends beyond the first of each request within a budget that all entries share without talk for each: an
  * entry may use its own requests' share, and an equal part of the slack.
  */
-export class RepeatBudget {
+export class SharedRetryBudget {
 	private readonly buckets = new Map<string, Bucket[]>();
-	private mostEntries = 1;
+	private maximumEntries = 1;
 
 	constructor(private readonly options: BudgetOptions) {}
 
 	/** Notes a request for a service. */
-	earn(service: string, now: number): void {
+	noteRequest(service: string, now: number): void {
 		this.getBucket(service, now).requests++;
 	}
 
 	/** Takes one repeat at a service; false when this entry's part is used up. */
-	spend(service: string, now: number): boolean {
+	takeRetry(service: string, now: number): boolean {
 		const bucket = this.getBucket(service, now);
-		this.mostEntries = Math.max(this.mostEntries, this.options.countEntries(now));
+		this.maximumEntries = Math.max(this.maximumEntries, this.options.countEntries(now));
 		let requests = 0;
 		let repeats = 0;
 		for (const entry of this.buckets.get(service)!) {
@@ -42,7 +42,7 @@
 			repeats += entry.repeats;
 		}
 
-		const allowed = caution * ((requests * this.options.ratio) + (this.options.slack / this.mostEntries));
+		const allowed = budgetShare * ((requests * this.options.ratio) + (this.options.slack / this.maximumEntries));
 		if (repeats + 1 > allowed) {
 			return false;
 		}
--- a/src/balance/target-health.ts
+++ b/src/balance/target-health.ts
@@ -1,24 +1,24 @@
-type Record = {failureRate: number; at: number; avoidUntil: number; unreachable: number; latencyMs: number};
+type HealthRecord = {failureRate: number; at: number; backoffUntil: number; unreachableCount: number; latencyMs: number};
 
 /** Weight of the newest outcome in a target's failure rate and latency. */
 const newestWeight = 0.2;
 /** Time in which what was seen of a target fades to about a third, milliseconds, so that it is tried again. */
-const memoryMs = 4000;
+const decayMs = 4000;
 /** How long an unreachable target is left alone at first and at most, milliseconds. */
-const firstAvoidMs = 300;
-const longestAvoidMs = 2000;
+const initialBackoffMs = 300;
+const maximumBackoffMs = 2000;
 
 /** What this entry has seen of each target lately: failures, latency, whether it could be reached. Fades with time. */
 export class TargetHealth {
-	private readonly records = new Map<string, Record>();
+	private readonly records = new Map<string, HealthRecord>();
 
 	/** Notes an answer, or a failure that the target is to blame for. */
-	note(target: string, hasFailed: boolean, now: number): void {
+	noteOutcome(target: string, hasFailed: boolean, now: number): void {
 		const record = this.read(target, now);
 		record.failureRate += ((hasFailed ? 1 : 0) - record.failureRate) * newestWeight;
 		if (!hasFailed) {
-			record.unreachable = 0;
-			record.avoidUntil = 0;
+			record.unreachableCount = 0;
+			record.backoffUntil = 0;
 		}
 	}
 
@@ -29,15 +29,15 @@
 	}
 
 	/** Notes that a target could not be reached or has gone silent: it is left alone for a while. */
-	avoid(target: string, now: number): void {
+	noteUnreachable(target: string, now: number): void {
 		const record = this.read(target, now);
-		record.unreachable++;
-		record.avoidUntil = now + Math.min(longestAvoidMs, firstAvoidMs * (2 ** (record.unreachable - 1)));
+		record.unreachableCount++;
+		record.backoffUntil = now + Math.min(maximumBackoffMs, initialBackoffMs * (2 ** (record.unreachableCount - 1)));
 	}
 
 	/** Whether a target is left alone now. */
 	isAvoided(target: string, now: number): boolean {
-		return now < (this.records.get(target)?.avoidUntil ?? 0);
+		return now < (this.records.get(target)?.backoffUntil ?? 0);
 	}
 
 	/** Share of recent requests that failed, 0 to 1. */
@@ -46,7 +46,7 @@
 	}
 
 	/** Recent time for a whole answer, milliseconds; 0 when none is known. */
-	getLatency(target: string, now: number): number {
+	getLatencyMs(target: string, now: number): number {
 		return this.read(target, now).latencyMs;
 	}
 
@@ -64,11 +64,11 @@
 		}
 	}
 
-	private read(target: string, now: number): Record {
+	private read(target: string, now: number): HealthRecord {
 		const record = this.records.get(target) ?? {
-			failureRate: 0, at: now, avoidUntil: 0, unreachable: 0, latencyMs: 0,
+			failureRate: 0, at: now, backoffUntil: 0, unreachableCount: 0, latencyMs: 0,
 		};
-		const fade = Math.exp((record.at - now) / memoryMs);
+		const fade = Math.exp((record.at - now) / decayMs);
 		record.failureRate *= fade;
 		record.latencyMs *= fade;
 		record.at = now;
--- a/src/balance/target-limits.ts
+++ b/src/balance/target-limits.ts
@@ -2,11 +2,11 @@
 import {type LimitDigest} from './limit-digest.js';
 
 /** One life of a target. */
-type Life = Pick<Target, 'id' | 'bornAt'>;
+type Incarnation = Pick<Target, 'id' | 'bornAt'>;
 
 /** What is known of one target's limit. */
-type Record = {
-	readonly life: Life;
+type LimitRecord = {
+	readonly life: Incarnation;
 	/** Undefined once the target names none any more. */
 	perSecond: number | undefined;
 	/** When an answer last said so, here or at the peer that it was heard from. */
@@ -23,18 +23,18 @@
 /** What an answer says of it: a rate; that there is one which cannot be read; or nothing. */
 type Statement = {readonly perSecond: number | undefined} | undefined;
 /** What was said of it, when, and to whom. */
-type News = {readonly perSecond: number | undefined; readonly saidAt: number; readonly isOwn: boolean};
+type LimitUpdate = {readonly perSecond: number | undefined; readonly saidAt: number; readonly isOwn: boolean};
 
 /** Least time between two lines on changes of one target's limit, milliseconds: a rate may change with each answer. */
-const changeLineMs = 1000;
+const changeLogIntervalMs = 1000;
 /** That a limit has ended is remembered for so long, milliseconds: an older digest of a peer, late on its way, is not believed then. */
-const endMemoryMs = 5000;
+const endedRetentionMs = 5000;
 /** A limit outlasts its target's registration by so long, milliseconds: one that lapsed while the store was away may come back. */
-const goneMemoryMs = 10_000;
+const unregisteredRetentionMs = 10_000;
 
 /** Targets that take so many requests a second from all entries together, for as long as their answers say so. */
 export class TargetLimits {
-	private readonly records = new Map<string, Record>();
+	private readonly records = new Map<string, LimitRecord>();
 
 	constructor(private readonly log: (message: string) => void) {}
 
@@ -49,14 +49,14 @@
 	 *
 	 * @param sentAt - when the request was sent that the answer was waited for, milliseconds
 	 */
-	note(life: Life, statement: Statement, sentAt: number, now: number): void {
+	noteAnswer(life: Incarnation, statement: Statement, sentAt: number, now: number): void {
 		const known = this.records.get(life.id);
 		if (statement === undefined) {
 			if (known?.perSecond !== undefined && sentAt >= known.saidAt) {
-				this.take(life, {perSecond: undefined, saidAt: now, isOwn: true}, now);
+				this.update(life, {perSecond: undefined, saidAt: now, isOwn: true}, now);
 			}
 		} else if (statement.perSecond !== undefined) {
-			this.take(life, {perSecond: statement.perSecond, saidAt: now, isOwn: true}, now);
+			this.update(life, {perSecond: statement.perSecond, saidAt: now, isOwn: true}, now);
 		}
 	}
 
@@ -65,7 +65,7 @@
 		const saidAt = now - agoMs;
 		const known = this.records.get(id);
 		if (known ? saidAt > known.saidAt : perSecond !== undefined) {
-			this.take({id, bornAt}, {perSecond, saidAt, isOwn: false}, now);
+			this.update({id, bornAt}, {perSecond, saidAt, isOwn: false}, now);
 		}
 	}
 
@@ -82,7 +82,7 @@
 	}
 
 	/** How long ago a target last named its limit, milliseconds. */
-	getAge(target: string, now: number): number {
+	getAgeMs(target: string, now: number): number {
 		return now - (this.records.get(target)?.saidAt ?? now);
 	}
 
@@ -103,15 +103,15 @@
 	tick(now: number, isKnown: (target: string) => boolean): void {
 		for (const [id, record] of this.records) {
 			record.goneAt = isKnown(id) ? undefined : record.goneAt ?? now;
-			const hasEnded = record.perSecond === undefined && now - record.saidAt > endMemoryMs;
-			const isGone = record.goneAt !== undefined && now - record.goneAt > goneMemoryMs;
+			const hasEnded = record.perSecond === undefined && now - record.saidAt > endedRetentionMs;
+			const isGone = record.goneAt !== undefined && now - record.goneAt > unregisteredRetentionMs;
 			if (hasEnded || isGone) {
 				this.records.delete(id);
 			}
 		}
 	}
 
-	private take(life: Life, {perSecond, saidAt, isOwn}: News, now: number): void {
+	private update(life: Incarnation, {perSecond, saidAt, isOwn}: LimitUpdate, now: number): void {
 		const known = this.records.get(life.id);
 		const record = known?.perSecond === undefined || perSecond === undefined
 			? {
@@ -120,11 +120,11 @@
 			: {
 				...known, perSecond, saidAt, isOwn,
 			};
-		this.tell(known, record, now);
+		this.logChange(known, record, now);
 		this.records.set(life.id, record);
 	}
 
-	private tell(known: Record | undefined, record: Record, now: number): void {
+	private logChange(known: LimitRecord | undefined, record: LimitRecord, now: number): void {
 		const {life: {id}, perSecond, isOwn} = record;
 		const source = isOwn ? 'its answer' : 'a peer';
 		if (known?.perSecond === undefined) {
@@ -139,7 +139,7 @@
 		const part = `${sends} requests were sent from here in ${Math.round(now - since)} ms`;
 		if (perSecond === undefined) {
 			this.log(`target ${id} names no limit any more, as ${source} says; ${part}`);
-		} else if (perSecond !== known.perSecond && now - known.loggedAt >= changeLineMs) {
+		} else if (perSecond !== known.perSecond && now - known.loggedAt >= changeLogIntervalMs) {
 			record.loggedAt = now;
 			this.log(`target ${id} takes ${perSecond} requests a second now, ${known.perSecond} before, as ${source} says; ${part}`);
 		}
--- a/src/balance/target-refusals.ts
+++ b/src/balance/target-refusals.ts
@@ -1,10 +1,10 @@
-import {type TargetStanding} from './target-standing.js';
+import {type BreakerState} from './breaker-state.js';
 
-type Record = {
+type RefusalRecord = {
 	/** Refusals since the target last served a request, when the last came, and until when it is left alone for them. */
 	refusals: number;
 	refusedAt: number;
-	pauseUntil: number;
+	backoffUntil: number;
 	servedAt: number | undefined;
 	/** When it first served a request after refusals. */
 	recoveredAt: number | undefined;
@@ -13,17 +13,17 @@
 /** What a peer says of targets that refuse it, and of those that lately serve it again. */
 type PeerDigest = {readonly refusing: readonly string[]; readonly recovered: readonly string[]};
 /** What a peer said last of targets that refuse it, and since when it has said so of each. */
-type Hearsay = {readonly at: number; readonly since: ReadonlyMap<string, number>};
+type PeerReport = {readonly at: number; readonly since: ReadonlyMap<string, number>};
 
 /** How long a target that refuses is left alone at first and at most, milliseconds; twice as long with each refusal more. */
-const firstPauseMs = 300;
-const longestPauseMs = 2000;
+const initialBackoffMs = 300;
+const maximumBackoffMs = 2000;
 /** What a peer said counts for so long, milliseconds: three of its longest times between two reports. */
-const hearsayMs = 1500;
+const peerReportLifetimeMs = 1500;
 /** A peer's digest that says that a target serves again is surely newer than a refusal of so long ago, milliseconds: a report's longest way. */
-const newsLagMs = 500;
+const maximumReportDelayMs = 500;
 /** One refusal is common under load, and its request's own line tells it; this many in a row are told of their target. */
-const refusalsToTell = 2;
+const refusalsToLog = 2;
 
 /**
  * Which targets refuse what they are sent, as this entry and its peers have found.
@@ -32,9 +32,9 @@
  * So others go first for a while, and until it has served a request it is doubtful.
  */
 export class TargetRefusals {
-	private readonly records = new Map<string, Record>();
+	private readonly records = new Map<string, RefusalRecord>();
 	/** By peer. */
-	private readonly hearsay = new Map<string, Hearsay>();
+	private readonly peerReports = new Map<string, PeerReport>();
 
 	/** @param log - told of targets that refuse again and again, and of their return */
 	constructor(private readonly log: (message: string) => void) {}
@@ -51,7 +51,7 @@
 			return;
 		}
 
-		if (record.refusals >= refusalsToTell) {
+		if (record.refusals >= refusalsToLog) {
 			this.log(`target ${target} serves again, ${Math.round(now - record.refusedAt)} ms after the last of ${record.refusals} refusals`);
 		}
 
@@ -65,8 +65,8 @@
 		record.refusals++;
 		record.refusedAt = now;
 		record.recoveredAt = undefined;
-		record.pauseUntil = now + Math.min(longestPauseMs, firstPauseMs * (2 ** (record.refusals - 1)));
-		if (record.refusals === refusalsToTell) {
+		record.backoffUntil = now + Math.min(maximumBackoffMs, initialBackoffMs * (2 ** (record.refusals - 1)));
+		if (record.refusals === refusalsToLog) {
 			this.log(`target ${target} refuses what it is sent: others go first, and it gets a request now and then to see`);
 		}
 	}
@@ -78,7 +78,7 @@
 		for (const [target, {refusals, recoveredAt}] of this.records) {
 			if (refusals > 0) {
 				refusing.push(target);
-			} else if (recoveredAt !== undefined && now - recoveredAt < hearsayMs) {
+			} else if (recoveredAt !== undefined && now - recoveredAt < peerReportLifetimeMs) {
 				recovered.push(target);
 			}
 		}
@@ -91,30 +91,30 @@
 	 * serve it again, this entry's own refusals count no more. So it takes one entry to find out either.
 	 */
 	merge(peer: string, {refusing, recovered}: PeerDigest, now: number): void {
-		const known = this.hearsay.get(peer)?.since;
+		const known = this.peerReports.get(peer)?.since;
 		if (refusing.length === 0) {
-			this.hearsay.delete(peer);
+			this.peerReports.delete(peer);
 		} else {
-			this.hearsay.set(peer, {at: now, since: new Map(refusing.map(target => [target, known?.get(target) ?? now]))});
+			this.peerReports.set(peer, {at: now, since: new Map(refusing.map(target => [target, known?.get(target) ?? now]))});
 		}
 
 		for (const target of recovered) {
 			const record = this.records.get(target);
-			if (record && now - record.refusedAt > newsLagMs) {
+			if (record && now - record.refusedAt > maximumReportDelayMs) {
 				record.refusals = 0;
 			}
 		}
 	}
 
 	/** How a target stands now. */
-	getStanding(target: string, now: number): TargetStanding {
+	getBreakerState(target: string, now: number): BreakerState {
 		const record = this.records.get(target);
 		const refuses = record !== undefined && record.refusals > 0;
-		if (refuses && now < record.pauseUntil) {
+		if (refuses && now < record.backoffUntil) {
 			return 'avoided';
 		}
 
-		const refusesPeer = this.getRefusedSince(target) > (record?.servedAt ?? Number.NEGATIVE_INFINITY);
+		const refusesPeer = this.getPeerRefusedSince(target) > (record?.servedAt ?? Number.NEGATIVE_INFINITY);
 		return refuses || refusesPeer ? 'doubtful' : 'sound';
 	}
 
@@ -139,26 +139,26 @@
 
 	/** Forgets peers that were not heard for long. */
 	tick(now: number): void {
-		for (const [peer, {at}] of this.hearsay) {
-			if (now - at > hearsayMs) {
-				this.hearsay.delete(peer);
+		for (const [peer, {at}] of this.peerReports) {
+			if (now - at > peerReportLifetimeMs) {
+				this.peerReports.delete(peer);
 			}
 		}
 	}
 
 	/* Since when a peer has been refused by a target; the latest of several. */
-	private getRefusedSince(target: string): number {
+	private getPeerRefusedSince(target: string): number {
 		let latest = Number.NEGATIVE_INFINITY;
-		for (const {since} of this.hearsay.values()) {
+		for (const {since} of this.peerReports.values()) {
 			latest = Math.max(latest, since.get(target) ?? latest);
 		}
 
 		return latest;
 	}
 
-	private read(target: string): Record {
+	private read(target: string): RefusalRecord {
 		const record = this.records.get(target) ?? {
-			refusals: 0, refusedAt: Number.NEGATIVE_INFINITY, pauseUntil: 0, servedAt: undefined, recoveredAt: undefined,
+			refusals: 0, refusedAt: Number.NEGATIVE_INFINITY, backoffUntil: 0, servedAt: undefined, recoveredAt: undefined,
 		};
 		this.records.set(target, record);
 		return record;
--- a/src/entry/entry-controller.ts
+++ b/src/entry/entry-controller.ts
@@ -153,7 +153,7 @@
 			}
 
 			case 'lend': {
-				limits.takeLoan(message);
+				limits.receiveLoan(message);
 				break;
 			}
 
--- a/src/entry/start-entry.ts
+++ b/src/entry/start-entry.ts
@@ -104,12 +104,12 @@
 		id,
 		lender: new Lender(),
 		clock,
-		findHome: name => homes.get(name),
-		ask(home, message) {
+		findLender: name => homes.get(name),
+		sendBorrow(home, message) {
 			const vm = membership.getVm(home);
 			return vm !== undefined && peers.send(vm, message);
 		},
-		getVisibleShare: () => membership.getVisibleShare(clock()),
+		getReachableShare: () => membership.getVisibleShare(clock()),
 		countEntries: () => membership.listLive(clock()).length,
 	});
 	const groups = new GroupPlanners({
--- a/src/forward/crash-watch.ts
+++ b/src/forward/crash-watch.ts
@@ -50,7 +50,7 @@
 	/** Notes that a request was lost at a target. */
 	noteLost({fingerprint}: ForwardExchange, target: Target, {isCut, answeringMs}: Lost): void {
 		const hasJustBegun = answeringMs === undefined || answeringMs <= beginMs;
-		this.suspects.noteLoss({fingerprint, life: target, hasJustBegun}, this.options.clock());
+		this.suspects.noteLoss({fingerprint, incarnation: target, hasJustBegun}, this.options.clock());
 		if (isCut && !this.checked.has(target.id)) {
 			void this.look(target);
 		}
@@ -71,7 +71,7 @@
 		}
 
 		log(`target ${target.id} of ${target.service} has crashed: it has ended its connections, and nobody listens at its address`);
-		health.avoid(target.id, clock());
+		health.noteUnreachable(target.id, clock());
 		this.reportCrash(target.id);
 	}
 
--- a/src/forward/forward-dispatcher.ts
+++ b/src/forward/forward-dispatcher.ts
@@ -44,8 +44,8 @@
 	async run(exchange: ForwardExchange): Promise<Result<void, Problem>> {
 		const route = exchange.route!;
 		exchange.service = pickService(route, this.options.random);
-		this.options.budget.earn(exchange.service, this.options.clock());
-		this.options.probes.earn(exchange.service, route.maximumAttempts > 1);
+		this.options.budget.noteRequest(exchange.service, this.options.clock());
+		this.options.probes.noteRequest(exchange.service, route.maximumAttempts > 1);
 		const progress: SendProgress = {
 			delivery: new StreamDelivery(exchange),
 			excluded: new Set(),
@@ -87,7 +87,7 @@
 		}
 
 		progress.inFlight = board.count(target.id, now);
-		board.begin(target.id, now);
+		board.noteStart(target.id, now);
 		book.noteSend(target.id, now);
 		progress.isPaid = false;
 		onSend(exchange.service, progress.sent > 0);
@@ -104,7 +104,7 @@
 				}),
 			});
 		} finally {
-			board.end(target.id);
+			board.noteEnd(target.id);
 		}
 	}
 
@@ -114,7 +114,7 @@
 		const isOver = exchange.departure.signal.aborted || progress.isExpired;
 		switch (outcome.kind) {
 			case 'streamed': {
-				this.options.book.health.note(target.id, false, now);
+				this.options.book.health.noteOutcome(target.id, false, now);
 				this.options.crashes.noteAnswered(exchange);
 				exchange.note(`streamed by ${target.id}`);
 				return ok();
@@ -139,7 +139,7 @@
 				this.noteFailure(target, outcome.reason, progress, exchange);
 				if (!isOver) {
 					this.options.crashes.noteLost(exchange, target, outcome);
-					this.options.book.health.note(target.id, true, now);
+					this.options.book.health.noteOutcome(target.id, true, now);
 				}
 
 				const mayRepeat = exchange.isRepeatable && !isOver;
@@ -151,7 +151,7 @@
 	private judgeAnswer(answer: Answer, target: Target, exchange: ForwardExchange, progress: SendProgress): Result<void, Problem> | undefined {
 		const now = this.options.clock();
 		const hasFailed = answer.status >= serverError;
-		this.options.book.health.note(target.id, hasFailed, now);
+		this.options.book.health.noteOutcome(target.id, hasFailed, now);
 		this.options.crashes.noteAnswered(exchange);
 		exchange.note(`${answer.status} by ${target.id}`);
 		if (progress.delivery.hasBegun) {
@@ -177,12 +177,12 @@
 	private noteCause({cause, wasSent}: Extract<SendOutcome, {kind: 'not-run'}>, target: Target, isOver: boolean, now: number): void {
 		const {gate, book: {directory, health}} = this.options;
 		if (cause === 'group-down') {
-			gate.close(getUnit(target), now, `target ${target.id} refuses since its group has stopped`);
+			gate.noteDown(getUnit(target), now, `target ${target.id} refuses since its group has stopped`);
 		} else if (cause === 'gone') {
 			directory.drop(target);
-			gate.excuse(getUnit(target), now);
+			gate.allowNextProbe(getUnit(target), now);
 		} else if (!wasSent && !isOver) {
-			health.avoid(target.id, now);
+			health.noteUnreachable(target.id, now);
 		}
 	}
 
--- a/src/forward/limit-permits.ts
+++ b/src/forward/limit-permits.ts
@@ -63,7 +63,7 @@
 		const permit = keeper === address
 			? this.give(id, perSecond, now)
 			: await this.ask(keeper, {
-				id, ...(bornAt !== undefined && {bornAt}), perSecond, agoMs: limits.getAge(id, now),
+				id, ...(bornAt !== undefined && {bornAt}), perSecond, agoMs: limits.getAgeMs(id, now),
 			}, now);
 		if (permit === undefined) {
 			this.silentUntil.set(keeper, clock() + silentMs);
@@ -116,7 +116,7 @@
 	private give(target: string, perSecond: number, now: number): Permit {
 		const {listPeers, countRegistered} = this.options;
 		const heard = listPeers(now).length + 1;
-		return this.buckets.take({target, perSecond, part: heard / Math.max(heard, countRegistered())}, now);
+		return this.buckets.take({target, perSecond, share: heard / Math.max(heard, countRegistered())}, now);
 	}
 
 	private async ask(keeper: string, limit: Wanted['limit'], now: number): Promise<Permit | undefined> {
--- a/src/forward/make-entry-state.ts
+++ b/src/forward/make-entry-state.ts
@@ -1,4 +1,4 @@
-import {type LoadBoard} from '../balance/load-board.js';
+import {type InFlightCounts} from '../balance/in-flight-counts.js';
 import {type RouteTable} from '../fleet/route-table.js';
 import {type TargetDirectory} from '../fleet/target-directory.js';
 import {type ChangeFeed} from '../key-value/change-feed.js';
@@ -26,7 +26,7 @@
 	readonly registry: Registry;
 	readonly source: FleetSource;
 	readonly directory: TargetDirectory;
-	readonly board: LoadBoard;
+	readonly board: InFlightCounts;
 	readonly connect: (address: string) => Promise<LinkConnection>;
 	readonly clock: () => number;
 	readonly random: () => number;
@@ -81,7 +81,7 @@
 		...options, hello, view, getConfigurationVersion: () => fleet.table?.version ?? 0, log: log.view,
 	});
 	const meetRegistered = (): void => {
-		mesh.meet(view.list(entriesPrefix).map(({value}) => value));
+		mesh.addPeers(view.list(entriesPrefix).map(({value}) => value));
 	};
 
 	const key = `${entriesPrefix}${id}`;
@@ -93,7 +93,7 @@
 	let isCompared = false;
 	const compare = (now: number): boolean => {
 		configuredAt ??= now;
-		isCompared ||= mesh.hasHeardView || now - configuredAt >= peerMs;
+		isCompared ||= mesh.hasReceivedView || now - configuredAt >= peerMs;
 		return isCompared;
 	};
 
@@ -104,7 +104,7 @@
 		getTable: now => fleet.table && compare(now) ? fleet.table : undefined,
 		countRegistered: () => view.list(entriesPrefix).length,
 		start(seeds) {
-			mesh.meet(seeds);
+			mesh.addPeers(seeds);
 			void view.run();
 		},
 		tick(now) {
--- a/src/forward/make-forward-path.ts
+++ b/src/forward/make-forward-path.ts
@@ -1,7 +1,7 @@
-import {LoadBoard} from '../balance/load-board.js';
+import {InFlightCounts} from '../balance/in-flight-counts.js';
 import {ProbeBudget} from '../balance/probe-budget.js';
-import {RepeatBudget} from '../balance/repeat-budget.js';
-import {ServiceGate} from '../balance/service-gate.js';
+import {SharedRetryBudget} from '../balance/shared-retry-budget.js';
+import {ServiceBreaker} from '../balance/service-breaker.js';
 import {type ForwardEntrySettings} from '../config/forward-entry-settings.js';
 import {type Service} from '../fleet/service.js';
 import {getUnit} from '../fleet/get-unit.js';
@@ -33,7 +33,7 @@
 };
 
 type ForwardPath = {
-	readonly board: LoadBoard;
+	readonly board: InFlightCounts;
 	readonly book: TargetBook;
 	readonly dispatcher: ForwardDispatcher;
 	/** What peers are told; all of it where the peer may have heard nothing yet. */
@@ -54,11 +54,11 @@
 /** Puts together what takes a request from the filters to a target: choice, gate, budget, connections, watch. */
 export function makeForwardPath(options: PathOptions): ForwardPath {
 	const {availabilityZone, repeats, openTransport, clock, random, countRegistered, getService, onLoad, onFound, onSend, log, address, listPeers} = options;
-	const board = new LoadBoard(onLoad);
+	const board = new InFlightCounts(onLoad);
 	const electEntry = (key: string, now: number): string => rankByRendezvous(key, [address, ...listPeers(now)])[0];
 	const book = new TargetBook({...options, electEntry, countInFlight: target => board.count(target, clock())});
 	const {directory, health} = book;
-	const gate = new ServiceGate(log);
+	const gate = new ServiceBreaker(log);
 	const admission = new StreamAdmission({
 		board,
 		listOpen: (service, now) => book.listOpen(service, now),
@@ -71,7 +71,7 @@
 		clock,
 		log,
 		onStopped(unit) {
-			gate.close(unit, clock(), 'none of its streams goes on');
+			gate.noteDown(unit, clock(), 'none of its streams goes on');
 		},
 		onSilentConnection(target) {
 			transport.drop(target);
@@ -83,8 +83,8 @@
 		},
 		onProgress(target) {
 			const now = clock();
-			board.progress(target.id, now);
-			gate.open(getUnit(target), now);
+			board.noteProgress(target.id, now);
+			gate.noteRunning(getUnit(target), now);
 		},
 		onGap(target, gapMs) {
 			admission.noteGap(target, gapMs);
@@ -105,7 +105,7 @@
 		board,
 		gate,
 		probes: new ProbeBudget(),
-		budget: new RepeatBudget({...repeats, countEntries: now => Math.max(board.countPeers(now) + 1, countRegistered())}),
+		budget: new SharedRetryBudget({...repeats, countEntries: now => Math.max(board.countLivePeers(now) + 1, countRegistered())}),
 		stalls,
 		admission,
 		availabilityZone,
@@ -142,7 +142,7 @@
 			crashes.noteRenewal(target);
 		},
 		reopen(unit) {
-			gate.open(unit, clock());
+			gate.noteRunning(unit, clock());
 		},
 		close() {
 			transport.close();
--- a/src/forward/stall-watch.ts
+++ b/src/forward/stall-watch.ts
@@ -1,10 +1,10 @@
-import {type LoadBoard} from '../balance/load-board.js';
+import {type InFlightCounts} from '../balance/in-flight-counts.js';
 import {type TargetHealth} from '../balance/target-health.js';
 import {getUnit} from '../fleet/get-unit.js';
 import {type Target} from '../fleet/target.js';
 
 type WatchOptions = {
-	readonly board: LoadBoard;
+	readonly board: InFlightCounts;
 	readonly health: TargetHealth;
 	readonly clock: () => number;
 	readonly log: (message: string) => void;
@@ -101,7 +101,7 @@
 	private noteActive(now: number): void {
 		const alive = new Set<string>();
 		for (const {target: {id, service}} of this.watched) {
-			if (this.options.board.getSilence(id, now) < aliveMs) {
+			if (this.options.board.getSilenceMs(id, now) < aliveMs) {
 				alive.add(service);
 			}
 		}
@@ -138,18 +138,18 @@
 	/* A group that stops as a whole, and then goes on, is silent at every target: none of them is to blame. */
 	private isTargetSilent({id, service}: Target, now: number): boolean {
 		const activeMs = now - (this.activeSince.get(service) ?? now);
-		return this.options.board.getSilence(id, now) > silentMs && activeMs > silentMs;
+		return this.options.board.getSilenceMs(id, now) > silentMs && activeMs > silentMs;
 	}
 
 	/* A target that has begun an answer goes on with all of its answers together; a connection can be lost alone. */
 	private isConnectionSilent({target, progressAt}: Watched, now: number): boolean {
-		return progressAt !== undefined && now - progressAt > silentMs && this.options.board.getSilence(target.id, now) < aliveMs;
+		return progressAt !== undefined && now - progressAt > silentMs && this.options.board.getSilenceMs(target.id, now) < aliveMs;
 	}
 
 	private endAtTarget({target, abort}: Watched, now: number): void {
 		const {board, health, log} = this.options;
-		log(`target ${target.id} of ${target.service} silent for ${Math.round(board.getSilence(target.id, now))} ms while others answer`);
-		health.avoid(target.id, now);
+		log(`target ${target.id} of ${target.service} silent for ${Math.round(board.getSilenceMs(target.id, now))} ms while others answer`);
+		health.noteUnreachable(target.id, now);
 		abort.abort('the target has gone silent');
 	}
 
--- a/src/forward/start-forward-entry.ts
+++ b/src/forward/start-forward-entry.ts
@@ -52,7 +52,7 @@
 		clock,
 		random,
 		address: linkAddress,
-		listPeers: now => mesh.listHeard(now),
+		listPeers: now => mesh.listLivePeers(now),
 		ask: (peer, question) => mesh.send(peer, question),
 		openTransport: listener => makeHttpTransport({dialect, clock}, listener),
 		countRegistered: () => knowledge.countRegistered(),
@@ -191,7 +191,7 @@
 		revision: view.asOf.number,
 		ageMs: view.getAge(clock()),
 		openRequests: server.openRequests,
-		inFlight: board.getOwn(),
+		inFlight: board.getOwnCounts(),
 	});
 	const shared = {
 		address, registry: metrics.registry, isReady, pages: {status: getStatus},
--- a/src/forward/stream-admission.ts
+++ b/src/forward/stream-admission.ts
@@ -1,4 +1,4 @@
-import {type LoadBoard} from '../balance/load-board.js';
+import {type InFlightCounts} from '../balance/in-flight-counts.js';
 import {admitStream} from '../decisions/admit-stream.js';
 import {PauseForecast} from '../decisions/pause-forecast.js';
 import {type Route} from '../fleet/route.js';
@@ -7,7 +7,7 @@
 import {type Target} from '../fleet/target.js';
 
 type AdmissionOptions = {
-	readonly board: LoadBoard;
+	readonly board: InFlightCounts;
 	/** Targets of a service that may be sent something now. */
 	readonly listOpen: (service: string, now: number) => readonly Target[];
 	/** Whether a target takes requests, as far as known: who refuses has no room to reckon with. */
--- a/src/forward/target-book.ts
+++ b/src/forward/target-book.ts
@@ -1,8 +1,8 @@
 import {TargetHealth} from '../balance/target-health.js';
 import {TargetLimits} from '../balance/target-limits.js';
 import {TargetRefusals} from '../balance/target-refusals.js';
-import {TargetRests} from '../balance/target-rests.js';
-import {type TargetStanding} from '../balance/target-standing.js';
+import {TargetCooldowns} from '../balance/target-cooldowns.js';
+import {type BreakerState} from '../balance/breaker-state.js';
 import {TargetDirectory} from '../fleet/target-directory.js';
 import {type Target} from '../fleet/target.js';
 import {type EntryDigest} from '../mesh/entry-digest.js';
@@ -35,13 +35,13 @@
 	readonly directory = new TargetDirectory();
 	readonly health = new TargetHealth();
 	readonly refusals: TargetRefusals;
-	readonly rests: TargetRests;
+	readonly rests: TargetCooldowns;
 	readonly limits: TargetLimits;
 	readonly permits: LimitPermits;
 
 	constructor(private readonly options: BookOptions) {
 		this.refusals = new TargetRefusals(options.log);
-		this.rests = new TargetRests(options.log);
+		this.rests = new TargetCooldowns(options.log);
 		this.limits = new TargetLimits(options.log);
 		this.permits = new LimitPermits({...options, limits: this.limits});
 	}
@@ -62,12 +62,12 @@
 	}
 
 	/** How a target stands now. One that takes nothing is asked now and then only, to see whether it does again. */
-	getStanding(target: string, now: number): TargetStanding {
+	getStanding(target: string, now: number): BreakerState {
 		if (this.health.isAvoided(target, now)) {
 			return 'avoided';
 		}
 
-		return this.limits.get(target) === 0 ? 'doubtful' : this.refusals.getStanding(target, now);
+		return this.limits.get(target) === 0 ? 'doubtful' : this.refusals.getBreakerState(target, now);
 	}
 
 	/** Notes that a request is sent to a target. */
@@ -88,15 +88,15 @@
 		}
 
 		this.noteServing(speaker, marks, sentAt, now);
-		this.limits.note(speaker, marks.limit, sentAt, now);
+		this.limits.noteAnswer(speaker, marks.limit, sentAt, now);
 		if (marks.isLeaving) {
 			this.options.onLeave(speaker, 'it says so in its answers');
 		}
 
 		if (marks.restMs !== undefined && marks.restMs > 0) {
 			const inFlight = this.options.countInFlight(speaker.id);
-			this.rests.begin(speaker, {
-				restMs: marks.restMs, status: marks.status, retryAfter: marks.retryAfter ?? '', inFlight,
+			this.rests.start(speaker, {
+				durationMs: marks.restMs, status: marks.status, retryAfter: marks.retryAfter ?? '', inFlight,
 			}, now);
 		}
 	}
@@ -160,7 +160,7 @@
 	}
 
 	private getShut(id: string, now: number): ShutTarget | undefined {
-		const restMs = this.rests.getRemaining(id, now);
+		const restMs = this.rests.getRemainingMs(id, now);
 		if (restMs > 0) {
 			return {id, cause: 'rests', waitMs: restMs};
 		}
--- a/src/forward/target-picker.ts
+++ b/src/forward/target-picker.ts
@@ -1,8 +1,8 @@
 import {chooseReplica} from '../balance/choose-replica.js';
-import {type LoadBoard} from '../balance/load-board.js';
+import {type InFlightCounts} from '../balance/in-flight-counts.js';
 import {type ProbeBudget} from '../balance/probe-budget.js';
-import {type RepeatBudget} from '../balance/repeat-budget.js';
-import {type ServiceGate} from '../balance/service-gate.js';
+import {type SharedRetryBudget} from '../balance/shared-retry-budget.js';
+import {type ServiceBreaker} from '../balance/service-breaker.js';
 import {getUnit} from '../fleet/get-unit.js';
 import {type Target} from '../fleet/target.js';
 import {type CrashWatch} from './crash-watch.js';
@@ -18,9 +18,9 @@
 type PickerOptions = {
 	readonly book: TargetBook;
 	readonly crashes: CrashWatch;
-	readonly board: LoadBoard;
-	readonly gate: ServiceGate;
-	readonly budget: RepeatBudget;
+	readonly board: InFlightCounts;
+	readonly gate: ServiceBreaker;
+	readonly budget: SharedRetryBudget;
 	readonly probes: ProbeBudget;
 	readonly admission: StreamAdmission;
 	readonly availabilityZone: string;
@@ -49,7 +49,7 @@
 			}
 
 			exchange.note(`no permit for ${target.id}, which takes ${book.limits.get(target.id)} a second`);
-			gate.excuse(getUnit(target), clock());
+			gate.allowNextProbe(getUnit(target), clock());
 		}
 
 		return this.choose(exchange, progress, false);
@@ -92,7 +92,7 @@
 			return this.refuseShut(left);
 		}
 
-		if (progress.sent > 0 && !progress.isPaid && !this.options.budget.spend(exchange.service, now)) {
+		if (progress.sent > 0 && !progress.isPaid && !this.options.budget.takeRetry(exchange.service, now)) {
 			return {spread: returnSpreads.overload, detail: `${progress.reason}; the budget of repeats is spent`};
 		}
 
@@ -101,15 +101,15 @@
 			targets: candidates,
 			excluded: progress.excluded,
 			availabilityZone,
-			count: target => board.count(target, now),
-			getStanding: target => book.getStanding(target, now),
+			countInFlight: target => board.count(target, now),
+			getBreakerState: target => book.getStanding(target, now),
 			getServedAt: target => refusals.getServedAt(target),
 			getFailureRate: target => health.getFailureRate(target, now),
-			getLatency: target => exchange.route!.kind === 'stream' ? 0 : health.getLatency(target, now),
+			getLatencyMs: target => exchange.route!.kind === 'stream' ? 0 : health.getLatencyMs(target, now),
 			// What the caller has half of goes before what it has nothing of.
 			queueLength: progress.delivery.hasBegun ? Number.POSITIVE_INFINITY : queueLength,
-			isRepeat: progress.sent > 0,
-			mayProbe: () => progress.sent === 0 && probes.spend(exchange.service),
+			isRetry: progress.sent > 0,
+			mayProbe: () => progress.sent === 0 && probes.takeProbe(exchange.service),
 			random,
 		});
 		switch (choice.kind) {
--- a/src/limits/lender.ts
+++ b/src/limits/lender.ts
@@ -8,7 +8,7 @@
 /** A bucket holds this many seconds of its rate at most. */
 const burstSeconds = 1;
 /** A permit to run requests lapses unless it is asked for again within this time, milliseconds. */
-const permitMs = 5000;
+const permitLifetimeMs = 5000;
 const idleMs = 60_000;
 
 /**
@@ -78,8 +78,8 @@
 		}
 
 		const granted = Math.max(0, Math.min(amount, Math.floor(limit) - others));
-		holders.set(borrower, {amount: granted, expiresAt: now + permitMs});
+		holders.set(borrower, {amount: granted, expiresAt: now + permitLifetimeMs});
 		this.permits.set(name, holders);
-		return {amount: granted, retryAfterMs: granted < amount ? permitMs / 10 : 0};
+		return {amount: granted, retryAfterMs: granted < amount ? permitLifetimeMs / 10 : 0};
 	}
 }
--- a/src/limits/limit-controller.ts
+++ b/src/limits/limit-controller.ts
@@ -11,32 +11,32 @@
 	readonly lender: Lender;
 	readonly clock: () => number;
 	/** The entry that lends for a limit. */
-	readonly findHome: (name: string) => string;
+	readonly findLender: (name: string) => string;
 	/** Sends a wish to another entry; false when it cannot be reached now. */
-	readonly ask: (home: string, message: MessageOf<'borrow'>) => boolean;
+	readonly sendBorrow: (home: string, message: MessageOf<'borrow'>) => boolean;
 	/** Share of all zones that can be reached. */
-	readonly getVisibleShare: () => number;
+	readonly getReachableShare: () => number;
 	/** Entries that can be reached, this one included. */
 	readonly countEntries: () => number;
 };
 
-type Wallet = {amount: number; lentAt: number};
-type Permits = {granted: number; running: number; demand: LimitDemand; askedAt: number};
+type Credit = {amount: number; borrowedAt: number};
+type Permits = {granted: number; running: number; demand: LimitDemand; requestedAt: number};
 
 /** Units borrowed at once, as seconds of the rate. */
-const chunkSeconds = 0.05;
+const borrowSeconds = 0.05;
 /** Borrowed units that were not used within this time are void, milliseconds. */
-const walletMs = 2000;
+const creditLifetimeMs = 2000;
 /** Longest wait for a lender, milliseconds. */
-const answerMs = 100;
-const renewMs = 2000;
+const lenderTimeoutMs = 100;
+const permitRenewalMs = 2000;
 
 /** Holds the requests of this entry to limits that span all entries, with units and permits borrowed from the limit's home. */
 export class LimitController {
-	private readonly wallets = new Map<string, Wallet>();
+	private readonly credits = new Map<string, Credit>();
 	private readonly permits = new Map<string, Permits>();
 	private readonly fallbacks = new Map<string, TokenBucket>();
-	private readonly pending = new Map<number, (loan: Loan | undefined) => void>();
+	private readonly pendingLoans = new Map<number, (loan: Loan | undefined) => void>();
 	private nextLoan = 0;
 
 	constructor(private readonly options: ControllerOptions) {}
@@ -69,8 +69,8 @@
 	}
 
 	/** Gives back units that a request turned out not to need. */
-	restore(name: string, amount: number): void {
-		const wallet = this.wallets.get(name);
+	returnUnits(name: string, amount: number): void {
+		const wallet = this.credits.get(name);
 		if (wallet) {
 			wallet.amount += amount;
 		}
@@ -85,17 +85,17 @@
 	}
 
 	/** Takes a lender's answer. */
-	takeLoan(message: MessageOf<'lend'>): void {
-		this.pending.get(message.loan)?.(message);
-		this.pending.delete(message.loan);
+	receiveLoan(message: MessageOf<'lend'>): void {
+		this.pendingLoans.get(message.loan)?.(message);
+		this.pendingLoans.delete(message.loan);
 	}
 
 	/** Renews permits in use, and forgets what is idle. */
 	tick(now: number): void {
 		this.options.lender.tick(now);
-		for (const [name, wallet] of this.wallets) {
-			if (now - wallet.lentAt > walletMs) {
-				this.wallets.delete(name);
+		for (const [name, wallet] of this.credits) {
+			if (now - wallet.borrowedAt > creditLifetimeMs) {
+				this.credits.delete(name);
 			}
 		}
 
@@ -103,7 +103,7 @@
 			if (permits.running === 0) {
 				this.permits.delete(name);
 				void this.borrow(permits.demand, 0);
-			} else if (now - permits.askedAt > renewMs) {
+			} else if (now - permits.requestedAt > permitRenewalMs) {
 				void this.renew(permits);
 			}
 		}
@@ -112,17 +112,17 @@
 	private async takeUnits(demand: LimitDemand): Promise<number | undefined> {
 		const {name, value, amount} = demand;
 		const now = this.options.clock();
-		const wallet = this.wallets.get(name) ?? {amount: 0, lentAt: now};
-		if (now - wallet.lentAt > walletMs) {
+		const wallet = this.credits.get(name) ?? {amount: 0, borrowedAt: now};
+		if (now - wallet.borrowedAt > creditLifetimeMs) {
 			wallet.amount = 0;
 		}
 
-		this.wallets.set(name, wallet);
+		this.credits.set(name, wallet);
 		if (wallet.amount < amount) {
-			const wanted = Math.max(amount - wallet.amount, value * chunkSeconds);
+			const wanted = Math.max(amount - wallet.amount, value * borrowSeconds);
 			const loan = await this.borrow(demand, wanted);
 			wallet.amount += loan.amount;
-			wallet.lentAt = this.options.clock();
+			wallet.borrowedAt = this.options.clock();
 			if (wallet.amount < amount) {
 				return Math.max(loan.retryAfterMs, 1);
 			}
@@ -134,14 +134,14 @@
 
 	private async takePermit(demand: LimitDemand): Promise<number | undefined> {
 		const permits = this.permits.get(demand.name) ?? {
-			granted: 0, running: 0, demand, askedAt: 0,
+			granted: 0, running: 0, demand, requestedAt: 0,
 		};
 		this.permits.set(demand.name, permits);
 		permits.demand = demand;
 		if (permits.running >= permits.granted) {
 			const loan = await this.borrow(demand, permits.running + 1);
 			permits.granted = loan.amount;
-			permits.askedAt = this.options.clock();
+			permits.requestedAt = this.options.clock();
 			if (permits.running >= permits.granted) {
 				return Math.max(loan.retryAfterMs, 1);
 			}
@@ -152,7 +152,7 @@
 	}
 
 	private async renew(permits: Permits): Promise<void> {
-		permits.askedAt = this.options.clock();
+		permits.requestedAt = this.options.clock();
 		const loan = await this.borrow(permits.demand, permits.running);
 		permits.granted = loan.amount;
 	}
@@ -168,31 +168,31 @@
 		if (demand.kind === 'concurrency') {
 			this.release(demand);
 		} else {
-			this.restore(demand.name, demand.amount);
+			this.returnUnits(demand.name, demand.amount);
 		}
 	}
 
 	private async borrow(demand: LimitDemand, amount: number): Promise<Loan> {
-		const home = this.options.findHome(demand.name);
+		const home = this.options.findLender(demand.name);
 		if (home === this.options.id) {
 			return this.lendScaled(demand.name, demand, home, amount, this.options.clock());
 		}
 
 		const loan = this.nextLoan++;
-		const isAsked = this.options.ask(home, {
+		const isAsked = this.options.sendBorrow(home, {
 			type: 'borrow', loan, bucket: demand.name, amount,
 		});
 		const answer = isAsked ? await this.waitForLoan(loan) : undefined;
-		return answer ?? this.lendAlone(demand, amount);
+		return answer ?? this.lendLocally(demand, amount);
 	}
 
 	private async waitForLoan(loan: number): Promise<Loan | undefined> {
 		return new Promise(resolve => {
 			const timer = setTimeout(() => {
-				this.pending.delete(loan);
+				this.pendingLoans.delete(loan);
 				resolve(undefined);
-			}, answerMs);
-			this.pending.set(loan, answer => {
+			}, lenderTimeoutMs);
+			this.pendingLoans.set(loan, answer => {
 				clearTimeout(timer);
 				resolve(answer);
 			});
@@ -200,12 +200,12 @@
 	}
 
 	/* Without the home, an entry keeps to its own part of what the visible zones may have. */
-	private lendAlone(demand: LimitDemand, amount: number): Loan {
+	private lendLocally(demand: LimitDemand, amount: number): Loan {
 		const now = this.options.clock();
-		const part = demand.value * this.options.getVisibleShare() / this.options.countEntries();
+		const part = demand.value * this.options.getReachableShare() / this.options.countEntries();
 		if (demand.kind === 'concurrency') {
 			const granted = Math.min(amount, Math.max(1, Math.floor(part)));
-			return {amount: granted, retryAfterMs: granted < amount ? answerMs : 0};
+			return {amount: granted, retryAfterMs: granted < amount ? lenderTimeoutMs : 0};
 		}
 
 		const bucket = this.fallbacks.get(demand.name) ?? new TokenBucket(part, Math.max(part, 1), now);
@@ -216,7 +216,7 @@
 	}
 
 	private lendScaled(name: string, demand: Pick<LimitDemand, 'kind' | 'value'>, borrower: string, amount: number, now: number): Loan {
-		const value = demand.value * this.options.getVisibleShare();
+		const value = demand.value * this.options.getReachableShare();
 		return this.options.lender.lend(name, {kind: demand.kind, value}, borrower, amount, now);
 	}
 }
--- a/src/mesh/entry-mesh.ts
+++ b/src/mesh/entry-mesh.ts
@@ -1,4 +1,4 @@
-import {type LoadBoard} from '../balance/load-board.js';
+import {type InFlightCounts} from '../balance/in-flight-counts.js';
 import {type LinkConnection} from '../link/link-connection.js';
 import {type LinkMessage} from '../link/link-message.js';
 import {type MessageOf} from '../link/message-of.js';
@@ -18,7 +18,7 @@
 	readonly view: StoreView;
 	/** Version of the configuration in force at this entry; 0 while none is. */
 	readonly getConfigurationVersion: () => number;
-	readonly board: LoadBoard;
+	readonly board: InFlightCounts;
 	/** What peers are told of targets and requests; all of it where the peer may have heard nothing yet. */
 	readonly getDigest: (isWhole: boolean, now: number) => EntryDigest;
 	/** Told of what a peer tells, at each of its reports, and whether it is in the same zone. */
@@ -31,35 +31,35 @@
 };
 
 /** A peer, in a zone that is not known before it was heard. */
-type Peer = {readonly link: PersistentLink; heardAt: number; availabilityZone: string | undefined};
+type Peer = {readonly link: PersistentLink; lastSeenAt: number; availabilityZone: string | undefined};
 
 /**
  * Least time between two reports of what is in flight, milliseconds: for each peer, so that a burst costs the same
  * whatever their number, and at most: what is in flight at a target changes many times a second.
  */
 const reportMsPerPeer = 10;
-const mostReportMs = 200;
+const maximumReportMs = 200;
 /**
  * Least time between two reports to peers in other zones, milliseconds. What is in flight there is used where the own zone
  * is full, and lasts for a second or two; with 32 entries in three zones two thirds of all reports go to other zones.
  */
-const farReportMs = 700;
+const remoteZoneReportMs = 700;
 /** Longest time between two reports, milliseconds: peers tell a quiet entry from a lost one by it. */
-const quietMs = 500;
+const heartbeatMs = 500;
 /**
  * Time between two reports that name the peers known, milliseconds. Each new link begins with one, so that an entry that
  * starts while the store is down hears of all at once; with 32 entries they are larger than all else that is reported.
  */
-const peersMs = 10_000;
+const peerListMs = 10_000;
 /** A link on which a peer was not heard for so long is cut and opened anew, milliseconds. */
-const lostMs = 1500;
-const maximumDelayMs = 800;
+const linkTimeoutMs = 1500;
+const maximumBackoffMs = 800;
 /** Time between two questions for a peer's view, milliseconds. */
-const wantedMs = 300;
+const viewRequestMs = 300;
 /** The same for a configuration that was asked for before. */
-const askAgainMs = 5000;
+const configurationRetryMs = 5000;
 /** Before all that a view may be of. */
-const anyRevision: Revision = {era: 0, number: 0};
+const zeroRevision: Revision = {era: 0, number: 0};
 
 /**
  * The entries' links to each other. Each tells the others what it has in flight, so that all choose targets by the
@@ -68,19 +68,19 @@
 export class EntryMesh {
 	private readonly peers = new Map<string, Peer>();
 	private reportedAt = 0;
-	private peersToldAt = 0;
-	private farReportedAt = 0;
-	private lastReport = '';
+	private peerListSentAt = 0;
+	private remoteZoneReportedAt = 0;
+	private lastSummary = '';
 	private timer: NodeJS.Timeout | undefined;
-	private wantedAt = Number.NEGATIVE_INFINITY;
-	private hasPeerView = false;
+	private viewRequestedAt = Number.NEGATIVE_INFINITY;
+	private hasPeerSnapshot = false;
 	/** Version of a peer's configuration that was asked for last, and when, milliseconds. */
-	private asked = {configurationVersion: 0, at: Number.NEGATIVE_INFINITY};
+	private lastConfigurationRequest = {configurationVersion: 0, at: Number.NEGATIVE_INFINITY};
 
 	constructor(private readonly options: MeshOptions) {}
 
 	/** Opens links to entries that are not known yet. */
-	meet(addresses: readonly string[]): void {
+	addPeers(addresses: readonly string[]): void {
 		for (const address of addresses) {
 			if (address !== this.options.address && !this.peers.has(address)) {
 				this.open(address);
@@ -93,8 +93,8 @@
 		const now = this.options.clock();
 		this.report(now);
 		for (const peer of this.peers.values()) {
-			if (peer.link.current && now - peer.heardAt > lostMs) {
-				peer.heardAt = now;
+			if (peer.link.current && now - peer.lastSeenAt > linkTimeoutMs) {
+				peer.lastSeenAt = now;
 				peer.link.cut();
 			}
 		}
@@ -102,7 +102,7 @@
 
 	/** Reports to all peers, in whatever zone, what cannot wait. */
 	reportNow(): void {
-		this.farReportedAt = Number.NEGATIVE_INFINITY;
+		this.remoteZoneReportedAt = Number.NEGATIVE_INFINITY;
 		this.report(this.options.clock());
 	}
 
@@ -112,17 +112,17 @@
 		this.timer ??= setTimeout(() => {
 			this.timer = undefined;
 			this.report(this.options.clock());
-		}, Math.max(0, this.reportedAt + Math.min(mostReportMs, reportMsPerPeer * this.peers.size) - now));
+		}, Math.max(0, this.reportedAt + Math.min(maximumReportMs, reportMsPerPeer * this.peers.size) - now));
 	}
 
 	/** Addresses of peers that are heard now. */
-	listHeard(now: number): string[] {
-		return [...this.peers].filter(([, {link, heardAt}]) => link.current !== undefined && now - heardAt <= lostMs).map(([address]) => address);
+	listLivePeers(now: number): string[] {
+		return [...this.peers].filter(([, {link, lastSeenAt: heardAt}]) => link.current !== undefined && now - heardAt <= linkTimeoutMs).map(([address]) => address);
 	}
 
 	/** Whether a peer has passed on its view since the start. */
-	get hasHeardView(): boolean {
-		return this.hasPeerView;
+	get hasReceivedView(): boolean {
+		return this.hasPeerSnapshot;
 	}
 
 	/** Sends a peer a message; false when there is no link to it. */
@@ -148,7 +148,7 @@
 			}
 
 			case 'view-offered': {
-				this.hasPeerView = true;
+				this.hasPeerSnapshot = true;
 				if (this.options.view.takeSnapshot(message.view)) {
 					const {era, number} = message.view.asOf;
 					this.options.log(`took a peer's view of era ${era} revision ${number}`);
@@ -173,19 +173,19 @@
 	private open(address: string): void {
 		const {connect, hello, clock, random} = this.options;
 		const peer: Peer = {
-			heardAt: clock(),
+			lastSeenAt: clock(),
 			availabilityZone: undefined,
 			link: new PersistentLink({
 				connect: async () => connect(address),
 				random,
-				maximumDelayMs,
+				maximumDelayMs: maximumBackoffMs,
 				onLost() {
-					peer.heardAt = clock();
+					peer.lastSeenAt = clock();
 				},
 				onOpen: connection => {
-					peer.heardAt = clock();
+					peer.lastSeenAt = clock();
 					connection.onMessage(message => {
-						peer.heardAt = clock();
+						peer.lastSeenAt = clock();
 						this.receive(message, reply => connection.send(reply));
 					});
 					connection.send(hello());
@@ -201,62 +201,62 @@
 		const now = clock();
 		board.merge(message.id, message.inFlight, now);
 		onDigest(message.id, message, message.availabilityZone === availabilityZone, now);
-		this.meet([message.address, ...message.peers ?? []]);
+		this.addPeers([message.address, ...message.peers ?? []]);
 		const peer = this.peers.get(message.address);
 		if (peer) {
-			peer.heardAt = now;
+			peer.lastSeenAt = now;
 			peer.availabilityZone = message.availabilityZone;
 		}
 
 		view.noteEra(message.viewRevision.era);
-		const after = this.chooseWanted(message, now);
-		if (after && now - this.wantedAt >= wantedMs) {
-			this.wantedAt = now;
+		const after = this.findWantedRevision(message, now);
+		if (after && now - this.viewRequestedAt >= viewRequestMs) {
+			this.viewRequestedAt = now;
 			send({type: 'view-wanted', after});
 		}
 	}
 
 	/* The revision after which a peer's view is wanted; undefined when it is not. */
-	private chooseWanted({viewRevision, viewAgeMs, configurationVersion}: MessageOf<'entry-load'>, now: number): Revision | undefined {
+	private findWantedRevision({viewRevision, viewAgeMs, configurationVersion}: MessageOf<'entry-load'>, now: number): Revision | undefined {
 		const {view, getConfigurationVersion} = this.options;
 		// With the store in reach, the own wait brings a change sooner than a peer, as a rule.
 		if (isLater(viewRevision, view.asOf)) {
-			const isStale = view.isCutOff || !view.isKnown || view.getAge(now) > viewAgeMs + quietMs;
+			const isStale = view.isCutOff || !view.isKnown || view.getAge(now) > viewAgeMs + heartbeatMs;
 			return isStale ? view.asOf : undefined;
 		}
 
 		// A store that has come back from a copy may have less than a peer knows, which an entry that has just started cannot tell.
-		const isFirst = viewRevision.number > 0 && !this.hasPeerView;
-		const hasLess = configurationVersion > getConfigurationVersion() && this.mayAsk(configurationVersion, now);
-		return isFirst || hasLess ? anyRevision : undefined;
+		const isFirst = viewRevision.number > 0 && !this.hasPeerSnapshot;
+		const hasLess = configurationVersion > getConfigurationVersion() && this.mayRequestConfiguration(configurationVersion, now);
+		return isFirst || hasLess ? zeroRevision : undefined;
 	}
 
 	/* A configuration that this entry cannot use is not asked for at each report of a peer that can. */
-	private mayAsk(configurationVersion: number, now: number): boolean {
-		if (configurationVersion <= this.asked.configurationVersion && now - this.asked.at < askAgainMs) {
+	private mayRequestConfiguration(configurationVersion: number, now: number): boolean {
+		if (configurationVersion <= this.lastConfigurationRequest.configurationVersion && now - this.lastConfigurationRequest.at < configurationRetryMs) {
 			return false;
 		}
 
-		this.asked = {configurationVersion, at: now};
+		this.lastConfigurationRequest = {configurationVersion, at: now};
 		return true;
 	}
 
 	private report(now: number): void {
-		const namesPeers = now - this.peersToldAt >= peersMs;
+		const namesPeers = now - this.peerListSentAt >= peerListMs;
 		const {board, view, getConfigurationVersion, getDigest} = this.options;
 		const news = getDigest(false, now);
 		// How old a digest's limit is grows with time, and is no change.
-		const summary = JSON.stringify([board.getOwn(), view.asOf, getConfigurationVersion(), {...news, limits: news.limits?.map(({agoMs, ...limit}) => limit)}]);
-		if (summary === this.lastReport && now - this.reportedAt < quietMs) {
+		const summary = JSON.stringify([board.getOwnCounts(), view.asOf, getConfigurationVersion(), {...news, limits: news.limits?.map(({agoMs, ...limit}) => limit)}]);
+		if (summary === this.lastSummary && now - this.reportedAt < heartbeatMs) {
 			return;
 		}
 
-		this.lastReport = summary;
+		this.lastSummary = summary;
 		this.reportedAt = now;
-		this.peersToldAt = namesPeers ? now : this.peersToldAt;
+		this.peerListSentAt = namesPeers ? now : this.peerListSentAt;
 		const report = this.makeReport(namesPeers);
-		const isFarDue = now - this.farReportedAt >= farReportMs;
-		this.farReportedAt = isFarDue ? now : this.farReportedAt;
+		const isFarDue = now - this.remoteZoneReportedAt >= remoteZoneReportMs;
+		this.remoteZoneReportedAt = isFarDue ? now : this.remoteZoneReportedAt;
 		for (const {link, availabilityZone} of this.peers.values()) {
 			const isNear = availabilityZone === undefined || availabilityZone === this.options.availabilityZone;
 			if (isNear || isFarDue) {
@@ -276,7 +276,7 @@
 			viewRevision: view.asOf,
 			configurationVersion: getConfigurationVersion(),
 			viewAgeMs: Math.min(Number.MAX_SAFE_INTEGER, Math.max(0, Math.round(view.getAge(now)))),
-			inFlight: board.getOwn(),
+			inFlight: board.getOwnCounts(),
 			...getDigest(namesPeers, now),
 			...(namesPeers && {peers: [...this.peers.keys()]}),
 		};
--- a/src/mesh/registration.ts
+++ b/src/mesh/registration.ts
@@ -11,15 +11,15 @@
 };
 
 /** Life of a registration without renewal, milliseconds: the platform's longest, so that renewals cost little. */
-const lifeMs = 600_000;
-const renewMs = 200_000;
+const leaseMs = 600_000;
+const renewalIntervalMs = 200_000;
 /** Time between two tries to register, milliseconds. */
-const retryMs = 1000;
+const retryIntervalMs = 1000;
 /** Time over which all processes write again what a copy of the store lacks, milliseconds, so that they do not press it at once. */
-const spreadMs = 2000;
+const rewriteSpreadMs = 2000;
 
 /** What the store holds under the key, in which era; an item is left out where that is not known. */
-type Standing = {readonly era: number; readonly item?: StoredValue};
+type StoredRegistration = {readonly era: number; readonly item?: StoredValue};
 
 /** Keeps this process's address in the store, under a lease so that the key goes when the VM is gone for good. */
 export class Registration {
@@ -36,7 +36,7 @@
 	 *
 	 * @param known - how the key stands in the store, by the process's view; undefined while nothing is known
 	 */
-	async tick(now: number, known?: Standing): Promise<void> {
+	async tick(now: number, known?: StoredRegistration): Promise<void> {
 		if (this.isBusy) {
 			return;
 		}
@@ -49,14 +49,14 @@
 		this.isBusy = true;
 		const isDone = this.lease === undefined ? await this.register() : await this.renew();
 		this.isBusy = false;
-		this.nextAt = now + (isDone ? renewMs : retryMs);
+		this.nextAt = now + (isDone ? renewalIntervalMs : retryIntervalMs);
 	}
 
 	/*
 	 * A store that has come back from a copy may lack the key, or its lease, which may then be another process's. What it still holds as
 	 * it was written is from before the copy, and so is its lease.
 	 */
-	private checkEra(now: number, known: Standing | undefined): void {
+	private checkEra(now: number, known: StoredRegistration | undefined): void {
 		if (this.written === undefined || known === undefined || known.era <= this.written.era) {
 			return;
 		}
@@ -66,7 +66,7 @@
 			return;
 		}
 
-		const pauseMs = this.options.random() * spreadMs;
+		const pauseMs = this.options.random() * rewriteSpreadMs;
 		this.options.log(`${this.options.key} is not in era ${known.era} of the store, it is written again in ${Math.round(pauseMs)} ms`);
 		this.written = undefined;
 		this.lease = undefined;
@@ -75,7 +75,7 @@
 
 	private async register(): Promise<boolean> {
 		const {registry, key, value, log} = this.options;
-		const lease = await registry.grantLeaseFor(lifeMs);
+		const lease = await registry.grantLeaseFor(leaseMs);
 		if (lease.isErr()) {
 			log(`not registered: ${lease.error.message}`);
 			return false;
