--- a/features/steps/fleet-simulation-steps.ts
+++ b/features/steps/fleet-simulation-steps.ts
@@ -4,42 +4,42 @@
 import {type SimulatedTarget} from '../support/simulated-target.js';
 import {type SystemWorld} from '../support/system-world.js';
 
-/** What is under way as a refusal is answered still reaches the target within this time, milliseconds. */
+/** Requests that were in flight when the entry got the refusal may still reach the target within this time, milliseconds. */
 const inFlightGraceMs = 500;
-/** An entry that has read that a target leaves sends it nothing after this time, milliseconds; it may have a second or two. */
+/** Time after which an entry that read that a target is leaving sends it nothing, milliseconds; the requirement allows a second or two. */
 const leaveGraceMs = 1000;
-/** Time between two troubles that are drawn, milliseconds. */
+/** Interval between two random faults, milliseconds. */
 const faultIntervalMs = 250;
 const slots = 8;
 const streamSeconds = 0.9;
 
 const getFleet = (world: SystemWorld): FleetSimulation => world.notes.get('fleet') as FleetSimulation;
 
-Given('{int} entries before {int} targets, and callers who need a third of them, seed {int}', function (this: SystemWorld, entries: number, targets: number, seed: number) {
+Given('{int} entries and {int} targets, with callers that use a third of the capacity, seed {int}', function (this: SystemWorld, entries: number, targets: number, seed: number) {
 	this.notes.set('fleet', new FleetSimulation({
 		entries, targets, requestsPerSecond: targets * slots / streamSeconds / 3, seed,
 	}));
 });
 
-Given('{int} entries before {int} targets, and callers who need {int} tenths of them, seed {int}', function (this: SystemWorld, entries: number, targets: number, tenths: number, seed: number) {
+Given('{int} entries and {int} targets, with callers that use {int} tenths of the capacity, seed {int}', function (this: SystemWorld, entries: number, targets: number, tenths: number, seed: number) {
 	this.notes.set('fleet', new FleetSimulation({
 		entries, targets, requestsPerSecond: targets * slots / streamSeconds * tenths / 10, seed,
 	}));
 });
 
-When('full targets ask for {int} ms rest for {int} seconds', async function (this: SystemWorld, restMs: number, seconds: number) {
+When('full targets ask for a cooldown of {int} ms, for {int} seconds', async function (this: SystemWorld, restMs: number, seconds: number) {
 	const fleet = getFleet(this);
 	for (const target of fleet.targets) {
 		target.fullCooldownMs = restMs;
 	}
 
-	await fleet.pass(seconds * 1000);
-	// Whoever asked last has its answer.
-	await fleet.pass((seconds + 2) * 1000);
+	await fleet.advance(seconds * 1000);
+	// The last callers get their answers.
+	await fleet.advance((seconds + 2) * 1000);
 	this.notes.set('span', {from: 0, until: seconds * 1000});
 });
 
-Then('at least {int} in {int} of those whom the targets have room for are served at once', function (this: SystemWorld, least: number, outOf: number) {
+Then('at least {int} in {int} of the requests that the targets have capacity for are served at the first attempt', function (this: SystemWorld, least: number, outOf: number) {
 	const {calls, targets} = getFleet(this);
 	const {from, until} = this.notes.get('span') as {from: number; until: number};
 	const room = targets.length * slots / streamSeconds * (until - from) / 1000;
@@ -51,27 +51,27 @@
 	const fleet = getFleet(world);
 	const refusing = fleet.targets.slice(0, count);
 	const [from, until] = seconds.map(second => second * 1000);
-	await fleet.pass(from);
+	await fleet.advance(from);
 	for (const target of refusing) {
 		target.refusal = {share: 1, cooldownMs: restMs, delayMs: 0};
 	}
 
-	await fleet.pass(until);
+	await fleet.advance(until);
 	for (const target of refusing) {
 		target.refusal = undefined;
 	}
 
-	// Whoever asked last has its answer.
-	await fleet.pass(until + 2000);
+	// The last callers get their answers.
+	await fleet.advance(until + 2000);
 	world.notes.set('refusing', refusing);
 	world.notes.set('span', {from, until});
 };
 
-When('{int} targets turn everything away from second {int} to {int}, asking for nothing', async function (this: SystemWorld, count: number, from: number, until: number) {
+When('{int} targets refuse all requests from second {int} to {int}, asking for no cooldown', async function (this: SystemWorld, count: number, from: number, until: number) {
 	await runRefusalPeriod(this, count, [from, until], undefined);
 });
 
-When('{int} targets turn everything away from second {int} to {int}, asking for {int} ms rest', async function (this: SystemWorld, count: number, from: number, until: number, restMs: number) {
+When('{int} targets refuse all requests from second {int} to {int}, asking for a cooldown of {int} ms', async function (this: SystemWorld, count: number, from: number, until: number, restMs: number) {
 	await runRefusalPeriod(this, count, [from, until], restMs);
 });
 
@@ -108,28 +108,28 @@
 	}
 };
 
-When('targets turn requests away, ask for rests of drawn lengths, leave and start again for {int} seconds, as the seed has it', async function (this: SystemWorld, seconds: number) {
+When('targets refuse requests, ask for cooldowns, leave and restart at random for {int} seconds', async function (this: SystemWorld, seconds: number) {
 	const fleet = getFleet(this);
 	while (fleet.now < seconds * 1000) {
-		await fleet.pass(fleet.now + faultIntervalMs);
+		await fleet.advance(fleet.now + faultIntervalMs);
 		injectFault(fleet);
 	}
 });
 
-Then('no target gets anything from an entry half a second after it has asked it for rest, until its end', function (this: SystemWorld) {
+Then('no target gets requests from an entry later than half a second after it asked that entry for a cooldown, until the cooldown ends', function (this: SystemWorld) {
 	const {cooldowns: rests, arrivals} = getFleet(this);
-	const unkept = rests.filter(({pair, from, until}) => arrivals.some(arrival => arrival.pair === pair && arrival.at > from + inFlightGraceMs && arrival.at < until));
-	assert.deepEqual(unkept.slice(0, 3), [], `${unkept.length} of ${rests.length} rests are not kept`);
+	const violations = rests.filter(({pair, from, until}) => arrivals.some(arrival => arrival.pair === pair && arrival.at > from + inFlightGraceMs && arrival.at < until));
+	assert.deepEqual(violations.slice(0, 3), [], `${violations.length} of ${rests.length} cooldowns are not observed`);
 });
 
-Then('no target gets anything from an entry a second after that has read that it leaves', function (this: SystemWorld) {
+Then('no target gets requests from an entry later than a second after that entry read that the target is leaving', function (this: SystemWorld) {
 	const {notices, arrivals} = getFleet(this);
 	assert.ok(notices.length > 0);
-	const unkept = notices.filter(({pair, at}) => arrivals.some(arrival => arrival.pair === pair && arrival.at > at + leaveGraceMs));
-	assert.deepEqual(unkept.slice(0, 3), [], `${unkept.length} of ${notices.length}`);
+	const violations = notices.filter(({pair, at}) => arrivals.some(arrival => arrival.pair === pair && arrival.at > at + leaveGraceMs));
+	assert.deepEqual(violations.slice(0, 3), [], `${violations.length} of ${notices.length}`);
 });
 
-Then('those {int} get no more than their share of what is sent meanwhile', function (this: SystemWorld, count: number) {
+Then('those {int} targets get no more than their share of the requests during that time', function (this: SystemWorld, count: number) {
 	const {arrivals, targets} = getFleet(this);
 	const {from, until} = this.notes.get('span') as {from: number; until: number};
 	const meanwhile = arrivals.filter(({at}) => at >= from && at < until);
@@ -139,29 +139,29 @@
 
 When('another {int} seconds pass', async function (this: SystemWorld, seconds: number) {
 	const fleet = getFleet(this);
-	await fleet.pass(fleet.now + (seconds * 1000));
+	await fleet.advance(fleet.now + (seconds * 1000));
 });
 
-Then('the log holds a line like {string}', function (this: SystemWorld, text: string) {
+Then('a log line contains {string}', function (this: SystemWorld, text: string) {
 	const {lines} = getFleet(this);
 	assert.ok(lines.some(line => line.includes(text)), lines.filter(line => line.includes('target-0')).slice(0, 8).join('\n'));
 });
 
-Then('those {int} get at least half of their share in the last {int} seconds', function (this: SystemWorld, count: number, seconds: number) {
+Then('those {int} targets get at least half of their share of the requests in the last {int} seconds', function (this: SystemWorld, count: number, seconds: number) {
 	const {arrivals, targets, now} = getFleet(this);
 	const late = arrivals.filter(({at}) => at >= now - (seconds * 1000));
-	const theirs = late.filter(({target}) => (this.notes.get('refusing') as SimulatedTarget[]).includes(target));
-	assert.ok(theirs.length >= late.length * count / targets.length / 2, `${theirs.length} of ${late.length}`);
+	const received = late.filter(({target}) => (this.notes.get('refusing') as SimulatedTarget[]).includes(target));
+	assert.ok(received.length >= late.length * count / targets.length / 2, `${received.length} of ${late.length}`);
 });
 
-Then('at least {int} in {int} of all callers meanwhile are served at once', function (this: SystemWorld, least: number, outOf: number) {
+Then('at least {int} in {int} of the callers during that time are served at the first attempt', function (this: SystemWorld, least: number, outOf: number) {
 	const {from, until} = this.notes.get('span') as {from: number; until: number};
 	const asked = getFleet(this).calls.filter(({askedAt}) => askedAt >= from && askedAt < until);
 	const served = asked.filter(({isServed, tries}) => isServed && tries === 1);
 	assert.ok(served.length >= asked.length * least / outOf, `${served.length} of ${asked.length}`);
 });
 
-Then('at least {int} in {int} of the callers of each second are served at once', function (this: SystemWorld, least: number, outOf: number) {
+Then('at least {int} in {int} of the callers of each second are served at the first attempt', function (this: SystemWorld, least: number, outOf: number) {
 	const {calls} = getFleet(this);
 	const {from, until} = this.notes.get('span') as {from: number; until: number};
 	for (let start = from; start < until; start += 1000) {
--- a/features/steps/limit-steps.ts
+++ b/features/steps/limit-steps.ts
@@ -8,22 +8,22 @@
 import {type ForwardSystem} from '../support/forward-system.js';
 import {type SystemWorld} from '../support/system-world.js';
 
-/** A trouble that comes and goes, milliseconds. */
+/** A fault that lasts for a period, milliseconds. */
 type FaultPeriod = {readonly from: number; readonly until: number; readonly begin: (fleet: FleetSimulation) => void; readonly end: (fleet: FleetSimulation) => void};
-/** What a life of a target has named from a moment on; undefined when nothing. */
-type Named = {readonly life: string; readonly at: number; readonly perSecond: number | undefined};
+/** Limit of a target incarnation from a time on (milliseconds); undefined when it announces none. */
+type AnnouncedLimit = {readonly incarnation: string; readonly at: number; readonly perSecond: number | undefined};
 type Answer = Awaited<ReturnType<ForwardSystem['call']>>;
 type Limited = {readonly targets: readonly SimulatedTarget[]; readonly perSecond: number; readonly from: number; readonly until: number};
 
-/** From then on after a target first names its limit, all entries keep to it, milliseconds. */
+/** Time after a target first announces its limit until all entries observe it, milliseconds. */
 const settleMs = 3000;
 const windowMs = 4000;
-/** What a target may get in a window: so many times what its limit allows, and so many requests more. */
+/** Allowed requests in a window: this many times the limit, plus this number of requests. */
 const limitFactor = 1.5;
 const limitAllowance = 5;
-/** Time between two troubles that are drawn, milliseconds. */
+/** Interval between two random faults, milliseconds. */
 const faultIntervalMs = 400;
-/** What a target named counts for so long after it has named something else, milliseconds: entries hear of it late. */
+/** Time for which a previous limit still counts after a change, milliseconds: entries learn of changes late. */
 const limitPropagationMs = 1000;
 
 const getFleet = (world: SystemWorld): FleetSimulation => world.notes.get('fleet') as FleetSimulation;
@@ -31,26 +31,26 @@
 const getSystem = (world: SystemWorld): ForwardSystem => world.notes.get('forward') as ForwardSystem;
 const getTarget = (world: SystemWorld, number: number): HttpTarget => getSystem(world).targets.get(`target-${number}`)!;
 
-/* Moments at which a target got requests while its limit held, by all entries. */
+/* Times at which a target received requests of any entry while its limit was in force. */
 const listArrivals = (world: SystemWorld, target: SimulatedTarget): number[] => {
 	const {from, until} = getLimited(world);
 	return getFleet(world).arrivals.filter(arrival => arrival.target === target && arrival.at >= from + settleMs && arrival.at < until).map(({at}) => at);
 };
 
-/* Lets time pass, with a trouble that comes and goes meanwhile. */
-const passWithFault = async (fleet: FleetSimulation, until: number, spell: FaultPeriod | undefined): Promise<void> => {
-	if (spell) {
-		await fleet.pass(spell.from);
-		spell.begin(fleet);
-		await fleet.pass(Math.min(until, spell.until));
-		spell.end(fleet);
+/* Advances the clock, with a fault in between. */
+const advanceWithFault = async (fleet: FleetSimulation, until: number, fault: FaultPeriod | undefined): Promise<void> => {
+	if (fault) {
+		await fleet.advance(fault.from);
+		fault.begin(fleet);
+		await fleet.advance(Math.min(until, fault.until));
+		fault.end(fleet);
 	}
 
-	await fleet.pass(until);
+	await fleet.advance(until);
 };
 
-When('{int} of the entries and the others do not hear each other from second {int} to {int}', function (this: SystemWorld, count: number, from: number, until: number) {
-	const spell: FaultPeriod = {
+When('links between {int} of the entries and the others are cut from second {int} to {int}', function (this: SystemWorld, count: number, from: number, until: number) {
+	const fault: FaultPeriod = {
 		from: from * 1000,
 		until: until * 1000,
 		begin(fleet) {
@@ -60,22 +60,22 @@
 			fleet.cutOff = new Set();
 		},
 	};
-	this.notes.set('spell', spell);
+	this.notes.set('fault', fault);
 });
 
-When('links between entries take {int} ms each way from second {int} to {int}', function (this: SystemWorld, ms: number, from: number, until: number) {
-	const usualMs = getFleet(this).linkMs;
-	const spell: FaultPeriod = {
+When('links between entries have a one-way delay of {int} ms from second {int} to {int}', function (this: SystemWorld, ms: number, from: number, until: number) {
+	const normalMs = getFleet(this).linkMs;
+	const fault: FaultPeriod = {
 		from: from * 1000,
 		until: until * 1000,
 		begin(fleet) {
 			fleet.linkMs = ms;
 		},
 		end(fleet) {
-			fleet.linkMs = usualMs;
+			fleet.linkMs = normalMs;
 		},
 	};
-	this.notes.set('spell', spell);
+	this.notes.set('fault', fault);
 });
 
 When('entry {string} is killed', async function (this: SystemWorld, entry: string) {
@@ -84,22 +84,22 @@
 	entries.delete(entry);
 });
 
-When('{int} targets name a limit of {float} a second from second {int} to {int}', async function (this: SystemWorld, count: number, perSecond: number, fromSecond: number, untilSecond: number) {
+When('{int} targets announce a limit of {float} per second from second {int} to {int}', async function (this: SystemWorld, count: number, perSecond: number, fromSecond: number, untilSecond: number) {
 	const fleet = getFleet(this);
 	const [from, until] = [fromSecond * 1000, untilSecond * 1000];
 	const targets = fleet.targets.slice(0, count);
-	await fleet.pass(from);
+	await fleet.advance(from);
 	for (const target of targets) {
 		target.limit = perSecond;
 	}
 
-	await passWithFault(fleet, until, this.notes.get('spell') as FaultPeriod | undefined);
+	await advanceWithFault(fleet, until, this.notes.get('fault') as FaultPeriod | undefined);
 	for (const target of targets) {
 		target.limit = undefined;
 	}
 
-	// Whoever asked last has its answer.
-	await fleet.pass(until + 2000);
+	// The last callers get their answers.
+	await fleet.advance(until + 2000);
 	this.notes.set('limited', {
 		targets, perSecond, from, until,
 	});
@@ -107,7 +107,7 @@
 	this.notes.set('refusing', targets);
 });
 
-Then('none of them gets more from all entries in any 4 seconds than one and a half times its limit and 5 requests', function (this: SystemWorld) {
+Then('none of them gets more requests from all entries in any 4 seconds than one and a half times its limit plus 5', function (this: SystemWorld) {
 	const {targets, perSecond} = getLimited(this);
 	const most = (limitFactor * perSecond * windowMs / 1000) + limitAllowance;
 	for (const target of targets) {
@@ -126,7 +126,7 @@
 	}
 });
 
-Given('target {int} names a limit of {string} in its answers', function (this: SystemWorld, number: number, limit: string) {
+Given('target {int} announces a limit of {string} in its answers', function (this: SystemWorld, number: number, limit: string) {
 	getTarget(this, number).marks = {'x-limit': limit};
 });
 
@@ -144,12 +144,12 @@
 	this.notes.set('answers', answers);
 });
 
-Then('target {int} has been asked at most {int} times', function (this: SystemWorld, number: number, most: number) {
+Then('target {int} has received at most {int} requests', function (this: SystemWorld, number: number, most: number) {
 	const {arrivals} = getTarget(this, number);
 	assert.ok(arrivals <= most, `${arrivals} times`);
 });
 
-Then('soon a caller who sends {string} reaches target {int}', async function (this: SystemWorld, request: string, number: number) {
+Then('soon a caller that sends {string} reaches target {int}', async function (this: SystemWorld, request: string, number: number) {
 	const system = getSystem(this);
 	const target = getTarget(this, number);
 	const before = target.arrivals;
@@ -162,7 +162,7 @@
 	});
 });
 
-Then('whoever is refused is told within {int} ms', function (this: SystemWorld, ms: number) {
+Then('each refusal is answered within {int} ms', function (this: SystemWorld, ms: number) {
 	const {refusals} = getFleet(this);
 	const {from, until} = getLimited(this);
 	const slow = refusals.filter(({at, afterMs}) => at >= from && at < until && afterMs > ms);
@@ -170,11 +170,11 @@
 	assert.deepEqual(slow.slice(0, 3), [], `${slow.length} of ${refusals.length}`);
 });
 
-Then('no {int} ms are told to more than {int} times as many as others are, by the mean', function (this: SystemWorld, ms: number, most: number) {
+Then('no interval of {int} ms is announced for retries more than {int} times as often as the mean', function (this: SystemWorld, ms: number, most: number) {
 	const {from, until} = getLimited(this);
-	const told = getFleet(this).refusals.filter(({at}) => at >= from + settleMs && at < until).map(({returnAt}) => returnAt);
-	const mean = told.length * ms / (Math.max(...told) - Math.min(...told));
-	const highest = Math.max(...told.map(start => told.filter(at => at >= start && at < start + ms).length));
+	const retryTimes = getFleet(this).refusals.filter(({at}) => at >= from + settleMs && at < until).map(({returnAt}) => returnAt);
+	const mean = retryTimes.length * ms / (Math.max(...retryTimes) - Math.min(...retryTimes));
+	const highest = Math.max(...retryTimes.map(start => retryTimes.filter(at => at >= start && at < start + ms).length));
 	assert.ok(highest <= most * mean, `${highest} within ${ms} ms, ${mean} by the mean`);
 });
 
@@ -218,45 +218,45 @@
 	}
 };
 
-When('targets name limits that change, leave, crash and start again, and entries are cut off, for {int} seconds, as the seed has it', async function (this: SystemWorld, seconds: number) {
+When('targets announce changing limits, leave, crash and restart, and links are cut, at random for {int} seconds', async function (this: SystemWorld, seconds: number) {
 	const fleet = getFleet(this);
-	const named: Named[] = [];
+	const announced: AnnouncedLimit[] = [];
 	while (fleet.now < seconds * 1000) {
-		await fleet.pass(fleet.now + faultIntervalMs);
+		await fleet.advance(fleet.now + faultIntervalMs);
 		injectFault(fleet);
-		named.push(...fleet.targets.map(target => ({life: formatIncarnation(target), at: fleet.now, perSecond: target.limit})));
+		announced.push(...fleet.targets.map(target => ({incarnation: formatIncarnation(target), at: fleet.now, perSecond: target.limit})));
 	}
 
-	this.notes.set('named', named);
+	this.notes.set('announced', announced);
 });
 
-Then('no life of a target gets more from all entries in any 4 seconds than one and a half times the most that it named, and 5 requests', function (this: SystemWorld) {
-	const named = this.notes.get('named') as Named[];
+Then('no target incarnation gets more requests from all entries in any 4 seconds than one and a half times its highest limit plus 5', function (this: SystemWorld) {
+	const announced = this.notes.get('announced') as AnnouncedLimit[];
 	const {arrivals} = getFleet(this);
 	let windows = 0;
-	for (const life of new Set(named.map(entry => entry.life))) {
-		const lifeArrivals = arrivals.filter(({pair}) => pair.endsWith(` ${life}`)).map(({at}) => at);
-		for (const start of lifeArrivals) {
-			const during = named.filter(entry => entry.life === life && entry.at >= start - settleMs - faultIntervalMs && entry.at < start + windowMs);
-			const hasNamed = during.length >= (settleMs + windowMs) / faultIntervalMs && during.every(({perSecond}) => perSecond !== undefined);
-			if (hasNamed) {
+	for (const incarnation of new Set(announced.map(entry => entry.incarnation))) {
+		const incarnationArrivals = arrivals.filter(({pair}) => pair.endsWith(` ${incarnation}`)).map(({at}) => at);
+		for (const start of incarnationArrivals) {
+			const during = announced.filter(entry => entry.incarnation === incarnation && entry.at >= start - settleMs - faultIntervalMs && entry.at < start + windowMs);
+			const hasAnnounced = during.length >= (settleMs + windowMs) / faultIntervalMs && during.every(({perSecond}) => perSecond !== undefined);
+			if (hasAnnounced) {
 				windows++;
 				const most = Math.max(...during.filter(({at}) => at >= start - limitPropagationMs - faultIntervalMs).map(({perSecond}) => perSecond!));
-				const got = lifeArrivals.filter(at => at >= start && at < start + windowMs).length;
-				assert.ok(got <= (limitFactor * most * windowMs / 1000) + limitAllowance, `${life} got ${got} from ${start} ms on, at ${most} a second`);
+				const got = incarnationArrivals.filter(at => at >= start && at < start + windowMs).length;
+				assert.ok(got <= (limitFactor * most * windowMs / 1000) + limitAllowance, `${incarnation} got ${got} from ${start} ms on, with a limit of ${most} requests per second`);
 			}
 		}
 	}
 
-	assert.ok(windows > 0, 'no target has named a limit for long enough');
+	assert.ok(windows > 0, 'no target has announced a limit for long enough');
 });
 
-Then('target {int} has been asked at least {int} times', function (this: SystemWorld, number: number, least: number) {
+Then('target {int} has received at least {int} requests', function (this: SystemWorld, number: number, least: number) {
 	const {arrivals} = getTarget(this, number);
 	assert.ok(arrivals >= least, `${arrivals} times`);
 });
 
-Given('each target but {int} names a limit of {string} in its answers', function (this: SystemWorld, number: number, limit: string) {
+Given('each target but {int} announces a limit of {string} in its answers', function (this: SystemWorld, number: number, limit: string) {
 	for (const target of getSystem(this).targets.values()) {
 		target.marks = target.target.id === `target-${number}` ? {} : {'x-limit': limit};
 	}
@@ -274,32 +274,32 @@
 	this.notes.set('answers', answers);
 });
 
-const life = {id: 'target-1', bornAt: 1};
+const incarnation = {id: 'target-1', bornAt: 1};
 
-Given('a target that has named {float} a second at {int} ms', function (this: SystemWorld, perSecond: number, now: number) {
+Given('a target that announced a limit of {float} requests per second at {int} ms', function (this: SystemWorld, perSecond: number, now: number) {
 	const limits = new TargetLimits(String);
-	limits.noteAnswer(life, {perSecond}, now, now);
+	limits.noteAnswer(incarnation, {perSecond}, now, now);
 	this.notes.set('limits', limits);
 });
 
-When('an answer that names none comes at {int} ms to a request of {int} ms', function (this: SystemWorld, now: number, sentAt: number) {
-	(this.notes.get('limits') as TargetLimits).noteAnswer(life, undefined, sentAt, now);
+When('an answer without a limit arrives at {int} ms for a request sent at {int} ms', function (this: SystemWorld, now: number, sentAt: number) {
+	(this.notes.get('limits') as TargetLimits).noteAnswer(incarnation, undefined, sentAt, now);
 });
 
-Then('the target takes {float} a second', function (this: SystemWorld, perSecond: number) {
-	assert.equal((this.notes.get('limits') as TargetLimits).get(life.id), perSecond);
+Then('the limit of the target is {float} requests per second', function (this: SystemWorld, perSecond: number) {
+	assert.equal((this.notes.get('limits') as TargetLimits).get(incarnation.id), perSecond);
 });
 
-Then('the target names no limit', function (this: SystemWorld) {
-	assert.equal((this.notes.get('limits') as TargetLimits).get(life.id), undefined);
+Then('the target has no limit', function (this: SystemWorld) {
+	assert.equal((this.notes.get('limits') as TargetLimits).get(incarnation.id), undefined);
 });
 
-type AskingEntry = {readonly permits: LimitPermits; now: number; asked: number | undefined};
+type RequestingEntry = {readonly permits: LimitPermits; now: number; asked: number | undefined};
 
-Given('an entry that hears another which keeps the permits of a target', function (this: SystemWorld) {
+Given('an entry with a live peer that grants the permits of a target', function (this: SystemWorld) {
 	const limits = new TargetLimits(String);
-	limits.noteAnswer(life, {perSecond: 1}, 0, 0);
-	const entry: AskingEntry = {
+	limits.noteAnswer(incarnation, {perSecond: 1}, 0, 0);
+	const entry: RequestingEntry = {
 		now: 0,
 		asked: undefined,
 		permits: new LimitPermits({
@@ -318,22 +318,22 @@
 	this.notes.set('asking', entry);
 });
 
-When('a third entry asks it for a permit at {float} a second, {int} ms later', function (this: SystemWorld, perSecond: number, ms: number) {
-	const entry = this.notes.get('asking') as AskingEntry;
-	const ask = () => entry.permits.answer({type: 'permit-wanted', number: 1, limit: {...life, perSecond, agoMs: 0}});
+When('a third entry requests a permit from it for a limit of {float} requests per second, {int} ms later', function (this: SystemWorld, perSecond: number, ms: number) {
+	const entry = this.notes.get('asking') as RequestingEntry;
+	const ask = () => entry.permits.answer({type: 'permit-wanted', number: 1, limit: {...incarnation, perSecond, agoMs: 0}});
 	ask();
 	entry.now += ms;
 	this.notes.set('isGranted', ask().isGranted);
 });
 
-Then('it gives none', function (this: SystemWorld) {
+Then('it grants no permit', function (this: SystemWorld) {
 	assert.equal(this.notes.get('isGranted'), false);
 });
 
-When('it asks for a permit, and reads after {int} ms that it has it', async function (this: SystemWorld, ms: number) {
-	const entry = this.notes.get('asking') as AskingEntry;
+When('it requests a permit, and receives the grant after {int} ms', async function (this: SystemWorld, ms: number) {
+	const entry = this.notes.get('asking') as RequestingEntry;
 	const taken = entry.permits.take({
-		...life, service: 'desk', address: '10.0.0.1', port: 1, availabilityZone: 'a', slots: 8, isLeaving: false,
+		...incarnation, service: 'desk', address: '10.0.0.1', port: 1, availabilityZone: 'a', slots: 8, isLeaving: false,
 	});
 	entry.now += ms;
 	entry.permits.receive({
@@ -346,7 +346,7 @@
 	assert.equal(this.notes.get('isTaken'), false);
 });
 
-Then('those that are refused hear that targets take no more for now, and some of them other times than others', function (this: SystemWorld) {
+Then('refusals say that targets take no more for now, and their Retry-After values differ', function (this: SystemWorld) {
 	const refused = (this.notes.get('answers') as Answer[]).filter(({status}) => status === 503);
 	assert.ok(refused.length > 1, `${refused.length} are refused`);
 	for (const {body} of refused) {
--- a/features/steps/rest-steps.ts
+++ b/features/steps/rest-steps.ts
@@ -6,8 +6,8 @@
 
 type Answer = Awaited<ReturnType<ForwardSystem['call']>>;
 
-/** Requests that a scenario sends at most until one of them has reached a target. */
-const mostTries = 60;
+/** Maximum number of requests that a scenario sends until one reaches the target. */
+const maximumTries = 60;
 
 const getSystem = (world: SystemWorld): ForwardSystem => world.notes.get('forward') as ForwardSystem;
 const getTarget = (world: SystemWorld, number: number): HttpTarget => getSystem(world).targets.get(`target-${number}`)!;
@@ -20,14 +20,14 @@
 };
 
 const sendUntil = async (world: SystemWorld, request: string, isEnough: () => boolean): Promise<void> => {
-	for (let tries = 0; tries < mostTries && !isEnough(); tries++) {
+	for (let tries = 0; tries < maximumTries && !isEnough(); tries++) {
 		await send(world, request);
 	}
 
-	assert.ok(isEnough(), `not reached with ${mostTries} requests`);
+	assert.ok(isEnough(), `not reached with ${maximumTries} requests`);
 };
 
-/* Registers the target anew, and waits until the entry has read it. */
+/* Registers the target again with changes, and waits until the entry has read it. */
 const register = async (world: SystemWorld, number: number, change: object): Promise<void> => {
 	const system = getSystem(world);
 	const {target} = getTarget(world, number);
@@ -35,15 +35,15 @@
 	await system.until(() => system.entries.get('entry-1')!.getRevision() >= system.store.lastRevision);
 };
 
-Given('target {int} turns everything away with {int} and Retry-After {string}', function (this: SystemWorld, number: number, status: number, value: string) {
+Given('target {int} refuses all requests with status {int} and Retry-After {string}', function (this: SystemWorld, number: number, status: number, value: string) {
 	getTarget(this, number).refusal = {status, headers: {'retry-after': value}};
 });
 
-Given('target {int} turns everything away with {int} and Retry-After {string}, in the name of {string}', function (this: SystemWorld, number: number, status: number, value: string, name: string) {
+Given('target {int} refuses all requests with status {int} and Retry-After {string}, under the id {string}', function (this: SystemWorld, number: number, status: number, value: string, name: string) {
 	getTarget(this, number).refusal = {status, headers: {'retry-after': value, 'x-answered-by': name}};
 });
 
-Given('target {int} says in its answers that it is about to leave', function (this: SystemWorld, number: number) {
+Given('target {int} announces in its answers that it is leaving', function (this: SystemWorld, number: number) {
 	getTarget(this, number).marks = {'x-leaving': '1'};
 });
 
@@ -51,11 +51,11 @@
 	getTarget(this, number).manners.push(manner);
 });
 
-When('target {int} does not say it any more', function (this: SystemWorld, number: number) {
+When('target {int} no longer announces it', function (this: SystemWorld, number: number) {
 	getTarget(this, number).marks = {};
 });
 
-When('target {int} is registered once more as before', async function (this: SystemWorld, number: number) {
+When('target {int} is registered again unchanged', async function (this: SystemWorld, number: number) {
 	await register(this, number, {});
 });
 
@@ -66,7 +66,7 @@
 	await register(this, number, {bornAt: 2});
 });
 
-When('a caller sends {string} until target {int} has been asked', async function (this: SystemWorld, request: string, number: number) {
+When('a caller sends {string} until one request has reached target {int}', async function (this: SystemWorld, request: string, number: number) {
 	const target = getTarget(this, number);
 	await sendUntil(this, request, () => target.arrivals > 0);
 });
@@ -80,24 +80,24 @@
 	this.notes.set('answers', answers);
 });
 
-Then('a caller who sends {string} again and again reaches target {int}', async function (this: SystemWorld, request: string, number: number) {
+Then('a caller that repeats {string} reaches target {int}', async function (this: SystemWorld, request: string, number: number) {
 	const target = getTarget(this, number);
 	const before = target.arrivals;
 	await sendUntil(this, request, () => target.arrivals > before);
 });
 
-Then('target {int} has been asked once', function (this: SystemWorld, number: number) {
+Then('target {int} has received one request', function (this: SystemWorld, number: number) {
 	assert.equal(getTarget(this, number).arrivals, 1);
 });
 
-Then('all of that is refused as not run', function (this: SystemWorld) {
+Then('all of these requests are refused as not run', function (this: SystemWorld) {
 	for (const {status, body} of this.notes.get('answers') as Answer[]) {
 		assert.equal(status, 503);
 		assert.equal((JSON.parse(body) as {outcome: string}).outcome, 'not-run');
 	}
 });
 
-Then('the last {int} are refused as not run, to come back after {int} ms or more, and not all at one moment', function (this: SystemWorld, count: number, leastMs: number) {
+Then('the last {int} are refused as not run, with different Retry-After values of at least {int} ms', function (this: SystemWorld, count: number, leastMs: number) {
 	const answers = this.notes.get('answers') as Answer[];
 	assert.equal(answers.length, count);
 	assert.deepEqual([...new Set(answers.map(({status}) => status))], [503]);
@@ -106,7 +106,7 @@
 	assert.ok(Math.max(...waits) - Math.min(...waits) > 50, waits.join(' '));
 });
 
-Then('soon nothing that a caller sends to {string} reaches target {int}', async function (this: SystemWorld, entry: string, number: number) {
+Then('soon no request sent to {string} reaches target {int}', async function (this: SystemWorld, entry: string, number: number) {
 	const target = getTarget(this, number);
 	await getSystem(this).until(async () => {
 		const before = target.arrivals;
--- a/features/support/fleet-simulation.ts
+++ b/features/support/fleet-simulation.ts
@@ -25,35 +25,35 @@
 	readonly maximumAttempts?: number;
 };
 
-/** One entry and one life of a target, named together. */
+/** Identifies an entry and a target incarnation together. */
 type EntryAndIncarnation = string;
-/** A request that has reached a target. */
+/** A request that reached a target; time in milliseconds. */
 type Arrival = {readonly pair: EntryAndIncarnation; readonly target: SimulatedTarget; readonly at: number; readonly isCrashing: boolean};
-/** What a target has asked an entry for, from when it answered. */
+/** A cooldown that a target asked an entry for, from the time of its answer, milliseconds. */
 type Cooldown = {readonly pair: EntryAndIncarnation; readonly from: number; readonly until: number};
-/** When an entry first read that a target leaves. */
+/** An answer in which an entry read that a target is leaving, milliseconds. */
 type Notice = {readonly pair: EntryAndIncarnation; readonly at: number};
-/** A refusal: at which entry, when, how long that had taken, and when the caller was told to come back. */
+/** A refusal: the entry, the time, how long it took, and when the caller may retry, milliseconds. */
 type Refusal = {readonly entry: number; readonly at: number; readonly afterMs: number; readonly returnAt: number};
-/** A caller's request: when it was asked first, how often, and whether it was served in the end. */
+/** A caller's request: time of the first attempt (milliseconds), number of attempts, and whether it was served in the end. */
 type Call = {readonly askedAt: number; readonly body: Uint8Array<ArrayBuffer>; tries: number; isServed: boolean};
 
 const stepMs = 2;
 const tickMs = 100;
-/** One way between an entry and a target. */
+/** One-way delay between an entry and a target, milliseconds. */
 const latencyMs = 2;
-/** Entries hear what the others have in flight so late. */
+/** Interval of the reports between entries, milliseconds. */
 const reportIntervalMs = 200;
-/** A stream's first event comes after this time in a slot, the others one after the other, and it ends with the last. */
+/** Time to a stream's first event, interval between events, and duration of the stream, milliseconds. */
 const firstEventMs = 150;
 const eventMs = 75;
 const streamMs = 900;
 const deadlineMs = 8000;
-/** A target that has crashed is back after this time. */
+/** Time until a crashed target has restarted, milliseconds. */
 const restartMs = 1500;
-/** The request that crashes its targets, as they begin to run it. */
+/** Body of the request that crashes targets when they begin to run it. */
 const crashingBody = new Uint8Array([255]);
-/** Callers keep to the time that they are told up to this share of what they have left. */
+/** Callers wait for the Retry-After time up to this share of their remaining time. */
 const obeyedShare = 1 / 3;
 const slots = 8;
 const zones = 3;
@@ -71,15 +71,15 @@
 	isResumable: true,
 });
 
-/** Entries that send callers' streams to targets, all in memory and by one clock: the product's path without a network. */
+/** Entries that send callers' streams to targets, in memory and with a simulated clock: the production code path without a network. */
 export class FleetSimulation {
 	now = 0;
 	readonly targets: SimulatedTarget[] = [];
-	/** One way between two entries. */
+	/** One-way delay between two entries, milliseconds. */
 	linkMs = latencyMs;
-	/** Whether callers' requests all look alike; each is another one if not. */
-	isAlike = true;
-	/** Entries that hear only each other, for now; empty when all hear all. */
+	/** Whether callers' requests are identical; otherwise each is different. */
+	isIdentical = true;
+	/** Entries whose links to the others are cut; empty when all are linked. */
 	cutOff: ReadonlySet<number> = new Set();
 	readonly paths: Path[] = [];
 	readonly arrivals: Arrival[] = [];
@@ -87,7 +87,7 @@
 	readonly notices: Notice[] = [];
 	readonly calls: Call[] = [];
 	readonly refusals: Refusal[] = [];
-	/** What entries log, of targets and in the lines of requests. */
+	/** Log lines of the entries, and the trails of their requests. */
 	readonly lines: string[] = [];
 	private readonly random: () => number;
 	private scheduled: Array<{readonly at: number; readonly run: () => void}> = [];
@@ -109,7 +109,7 @@
 		this.register();
 	}
 
-	/** Has all entries hear which targets are registered. */
+	/** Updates the registered targets at all entries. */
 	register(): void {
 		for (const path of this.paths) {
 			const {renewed} = path.book.directory.replace(this.targets.map(({target}) => target), this.now, false);
@@ -119,8 +119,8 @@
 		}
 	}
 
-	/** Lets time pass up to a moment, milliseconds, with callers that ask at the fleet's rate. */
-	async pass(until: number): Promise<void> {
+	/** Advances the clock to a time, milliseconds, with callers sending at the configured rate. */
+	async advance(until: number): Promise<void> {
 		while (this.now < until) {
 			this.now += stepMs;
 			this.step();
@@ -128,15 +128,15 @@
 		}
 	}
 
-	/** A caller asks for what crashes the targets that run it, at an entry that is drawn unless one is named. */
-	crash(entry = this.draw(this.options.entries)): void {
+	/** Sends the request that crashes targets, to a random entry unless one is given. */
+	sendCrashingRequest(entry = this.draw(this.options.entries)): void {
 		const call: Call = {
 			askedAt: this.now, body: crashingBody, tries: 0, isServed: false,
 		};
 		void this.ask(call, entry);
 	}
 
-	/** A target crashes, and is back a little later. */
+	/** Crashes a target, and restarts it after a while. */
 	crashTarget(target: SimulatedTarget): void {
 		target.crash();
 		this.after(restartMs, () => {
@@ -145,7 +145,7 @@
 		});
 	}
 
-	/** Draws a number below `count`. */
+	/** Returns a random integer below `count`. */
 	draw(count: number): number {
 		return Math.floor(this.random() * count);
 	}
@@ -163,7 +163,7 @@
 
 		while (this.nextCallAt <= this.now) {
 			this.nextCallAt += -Math.log(1 - this.random()) * 1000 / this.options.requestsPerSecond;
-			const body = new Uint8Array(this.isAlike ? [0] : [this.calls.length % 251, Math.floor(this.calls.length / 251), 1]);
+			const body = new Uint8Array(this.isIdentical ? [0] : [this.calls.length % 251, Math.floor(this.calls.length / 251), 1]);
 			const call: Call = {
 				askedAt: this.now, body, tries: 0, isServed: false,
 			};
@@ -171,9 +171,9 @@
 			void this.ask(call);
 		}
 
-		const ready = this.scheduled.filter(({at}) => at <= this.now);
+		const dueActions = this.scheduled.filter(({at}) => at <= this.now);
 		this.scheduled = this.scheduled.filter(({at}) => at > this.now);
-		for (const {run} of ready) {
+		for (const {run} of dueActions) {
 			run();
 		}
 	}
@@ -187,24 +187,24 @@
 	private report(index: number): void {
 		const {board} = this.paths[index];
 		const inFlight = board.getOwnCounts();
-		const news = this.paths[index].getDigest(false, this.now);
+		const digest = this.paths[index].getDigest(false, this.now);
 		for (const [other, path] of this.paths.entries()) {
 			if (other !== index && this.isLinked(index, other)) {
 				path.board.merge(`entry-${index}`, inFlight, this.now);
-				path.mergeDigest(`entry-${index}`, news, other % zones === index % zones, this.now);
+				path.mergeDigest(`entry-${index}`, digest, other % zones === index % zones, this.now);
 			}
 		}
 	}
 
-	/* Asks an entry for a permit and brings its answer back, if the two are linked both times. */
+	/* Requests a permit from a peer and delivers its answer, if the two are linked both times. */
 	private askPermit(entry: number, peer: string, question: PermitQuestion): boolean {
-		const keeper = Number(peer.slice('entry-'.length));
-		if (!this.isLinked(entry, keeper)) {
+		const grantor = Number(peer.slice('entry-'.length));
+		if (!this.isLinked(entry, grantor)) {
 			return false;
 		}
 
 		this.after(this.linkMs, () => {
-			const answer = this.paths[keeper].book.permits.answer(question);
+			const answer = this.paths[grantor].book.permits.answer(question);
 			this.after(this.linkMs, () => {
 				this.paths[entry].book.permits.receive(answer);
 			});
@@ -212,7 +212,7 @@
 		return true;
 	}
 
-	/* A caller asks some entry, and once more when it is told to come back. */
+	/* Sends a caller's request to a random entry, and retries once after a refusal. */
 	private async ask(call: Call, entry = this.draw(this.options.entries)): Promise<void> {
 		call.tries++;
 		const incoming = new IncomingMessage(new Socket());
@@ -294,7 +294,7 @@
 				const target = this.targets.find(other => other.target.id === options.target.id)!;
 				const pair = `${entry} ${target.target.id} ${target.target.bornAt}`;
 				if (target.isDown) {
-					resolve({kind: 'not-run', reason: 'not sent: nobody listens', wasSent: false});
+					resolve({kind: 'not-run', reason: 'not sent: connection refused', wasSent: false});
 					return;
 				}
 
--- a/features/support/mesh-simulation.ts
+++ b/features/support/mesh-simulation.ts
@@ -14,7 +14,7 @@
 	readonly availabilityZone: string;
 	readonly board: InFlightCounts;
 	readonly mesh: EntryMesh;
-	/** Requests under way: their targets, and when they end. */
+	/** Running requests: their targets, and when they end, milliseconds. */
 	running: Array<{readonly target: string; readonly endsAt: number}>;
 	nextRequestAt: number;
 };
@@ -23,12 +23,12 @@
 
 const stepMs = 5;
 const tickMs = 100;
-/* What entries of a larger customer do: six requests a second each, which last for 1.3 s. */
+/* Load of a large installation: six requests per second at each entry, each of which takes 1.3 s. */
 const requestIntervalMs = 160;
 const durationMs = 1300;
 const bytesPerSecond = 5_000_000;
 
-/** Entries in several zones that tell each other what they have in flight, joined by links in memory. */
+/** Entries in several zones that report their requests in flight to each other, joined by links in memory. */
 export class MeshSimulation {
 	now = 0;
 	readonly members: Member[] = [];
@@ -41,8 +41,8 @@
 		this.random = () => uniformFloat64(generator);
 	}
 
-	/** Lets all entries meet and serve for so long, and then be quiet for the rest. */
-	async run(busyMs: number, quietMs: number, onQuiet: (crowd: MeshSimulation) => void): Promise<void> {
+	/** Connects all entries and lets them serve for `busyMs`; then no requests start or end for `quietMs`. */
+	async run(busyMs: number, quietMs: number, onQuiet: (simulation: MeshSimulation) => void): Promise<void> {
 		mock.timers.enable({apis: ['setTimeout', 'setInterval']});
 		try {
 			for (let index = 0; index < this.options.entries; index++) {
@@ -53,10 +53,10 @@
 				mesh.addPeers(this.members.map(({address}) => address));
 			}
 
-			await this.pass(busyMs);
+			await this.advance(busyMs);
 			onQuiet(this);
 			this.isBusy = false;
-			await this.pass(quietMs);
+			await this.advance(quietMs);
 		} finally {
 			for (const {mesh} of this.members) {
 				mesh.close();
@@ -66,13 +66,13 @@
 		}
 	}
 
-	/** Bytes that an entry has sent, by the mean. */
+	/** Mean number of bytes that an entry has sent. */
 	getMeanBytes(): number {
 		const sent = this.members.map(({address}) => this.network.getSentBytes(address));
 		return sent.reduce((sum, bytes) => sum + bytes, 0) / sent.length;
 	}
 
-	/** Pairs of entries of which the one counts other requests of all than are in flight. */
+	/** Number of entries whose total of requests in flight is wrong. */
 	countWrongTotals(): number {
 		const totals = this.members.map(({board}) => this.sum(board));
 		const inFlight = this.members.flatMap(({running}) => running).length;
@@ -88,7 +88,7 @@
 		return total;
 	}
 
-	private async pass(ms: number): Promise<void> {
+	private async advance(ms: number): Promise<void> {
 		for (const end = this.now + ms; this.now < end;) {
 			this.now += stepMs;
 			for (const member of this.members) {
@@ -106,7 +106,7 @@
 			mesh.tick();
 		}
 
-		// Once it is quiet, nothing begins or ends, so that all can come to know the same.
+		// In the quiet period no requests start or end, so that all counts can converge.
 		if (!this.isBusy) {
 			return;
 		}
--- a/features/support/simulated-target.ts
+++ b/features/support/simulated-target.ts
@@ -3,38 +3,38 @@
 import {type SendOutcome} from '../../src/forward/send-outcome.js';
 
 type Refusal = {
-	/** Share of the requests that are turned away. */
+	/** Share of the requests that are refused, 0 to 1. */
 	readonly share: number;
-	/** Rest that is asked for; undefined when none is. */
+	/** Cooldown that is asked for, milliseconds; undefined for none. */
 	readonly cooldownMs: number | undefined;
-	/** How late it answers. */
+	/** Delay of the refusal, milliseconds. */
 	readonly delayMs: number;
 };
 
 type Refused = {readonly marks: AnswerMarks; readonly outcome: SendOutcome; readonly delayMs: number};
 
-/** Requests that wait at a target beyond its slots before it turns the next away. */
+/** Requests queued at a target beyond its slots before it refuses more. */
 const queueLength = 4;
 
-/** A target in memory: it serves as many requests as it has slots, or turns them away as it is told to. */
+/** A target in memory: it runs as many requests as it has slots, and refuses requests as configured. */
 export class SimulatedTarget {
 	running = 0;
 	refusal: Refusal | undefined;
-	/** Rest that it asks for when it is full; undefined when it asks for none. */
+	/** Cooldown that it asks for when it is full, milliseconds; undefined for none. */
 	fullCooldownMs: number | undefined;
-	/** Requests per second that it takes from all entries together, as its answers say; undefined when it names none. */
+	/** Limit that it announces in its answers: requests per second from all entries together; undefined for none. */
 	limit: number | undefined;
-	/** Whether it has crashed and is not back yet: nobody listens at its address. */
+	/** Whether it has crashed and not restarted yet: connections to its address are refused. */
 	isDown = false;
-	/** Says in each answer that it is about to leave. */
+	/** Whether it announces in each answer that it is leaving. */
 	isLeaving = false;
 
-	/** What ends with it when it crashes: the requests that it runs. */
-	private readonly losses = new Set<() => void>();
+	/** Called when it crashes, for each request that it runs. */
+	private readonly onCrashCallbacks = new Set<() => void>();
 
 	constructor(public target: Target) {}
 
-	/** What its answers say of it. */
+	/** The properties of the target in the heads of its answers. */
 	get marks(): AnswerMarks {
 		return {
 			status: 200,
@@ -51,7 +51,7 @@
 		};
 	}
 
-	/** How it turns a request away; undefined when it takes it. */
+	/** Refuses a request; undefined when the target accepts it. */
 	refuse(chance: number): Refused | undefined {
 		const isFull = this.running >= this.target.slots + queueLength;
 		const isRefusing = this.refusal !== undefined && chance < this.refusal.share;
@@ -71,34 +71,34 @@
 		};
 	}
 
-	/** Has a request end if the target crashes before it is done; gives what is to be called then. */
+	/** Runs a request. `onLost` is called if the target crashes before it ends; returns a function that ends the request. */
 	run(onLost: () => void): () => void {
-		this.losses.add(onLost);
+		this.onCrashCallbacks.add(onLost);
 		this.running++;
 		return () => {
-			if (this.losses.delete(onLost)) {
+			if (this.onCrashCallbacks.delete(onLost)) {
 				this.running--;
 			}
 		};
 	}
 
-	/** Crashes: all that it runs is cut off. */
+	/** Crashes: all running requests are lost. */
 	crash(): void {
 		this.isDown = true;
-		const losses = [...this.losses];
-		this.losses.clear();
-		for (const lose of losses) {
-			lose();
+		const onCrashCallbacks = [...this.onCrashCallbacks];
+		this.onCrashCallbacks.clear();
+		for (const onLost of onCrashCallbacks) {
+			onLost();
 		}
 	}
 
-	/** Starts again under its id: it knows nothing of before. */
+	/** Restarts under its id, with no state from before. */
 	restart(): void {
 		this.target = {...this.target, bornAt: this.target.bornAt! + 1};
 		this.refusal = undefined;
 		this.isLeaving = false;
 		this.isDown = false;
 		this.running = 0;
-		this.losses.clear();
+		this.onCrashCallbacks.clear();
 	}
 }
--- a/src/balance/choose-replica.ts
+++ b/src/balance/choose-replica.ts
@@ -3,70 +3,70 @@
 
 type ChoiceOptions = {
 	readonly targets: readonly Target[];
-	/** Targets that the request was sent to already. */
+	/** Ids of targets that this request has already been sent to. */
 	readonly excluded: ReadonlySet<string>;
 	readonly availabilityZone: string;
-	/** Requests in flight at a target over all entries. */
+	/** Requests in flight at a target, summed over all entries. */
 	readonly countInFlight: (target: string) => number;
 	readonly getBreakerState: (target: string) => BreakerState;
-	/** When a target last began to answer, milliseconds; undefined when it never has. */
+	/** Time at which a target last began to answer a request successfully, milliseconds; undefined if it never has. */
 	readonly getServedAt: (target: string) => number | undefined;
-	/** Share of a target's recent requests that failed. */
+	/** Share of a target's recent requests that failed, 0 to 1. */
 	readonly getFailureRate: (target: string) => number;
-	/** Recent time for a whole answer, milliseconds; 0 when none is known. */
+	/** Recent time for a complete answer, milliseconds; 0 when unknown. */
 	readonly getLatencyMs: (target: string) => number;
-	/** Requests beyond a target's slots that may wait at it. */
+	/** Requests that may be queued at a target beyond its slots. */
 	readonly queueLength: number;
-	/** Whether the request was sent to a target before: it goes where others have lately been served. */
+	/** Whether the request is a retry; a retry prefers the target that most recently served a request. */
 	readonly isRetry: boolean;
-	/** Whether this request may be the one that sees whether a doubtful target takes requests again. */
+	/** Takes a probe from the budget: whether this request may probe a doubtful target. */
 	readonly mayProbe: () => boolean;
 	readonly random: () => number;
 };
 
 type Chosen = {readonly kind: 'chosen'; readonly target: Target};
-/** Every target has as much as it may have. */
+/** Every target is at its limit of running and queued requests. */
 type Full = {readonly kind: 'full'};
-/** There is no target that could be asked. */
+/** No target is left to try. */
 type None = {readonly kind: 'none'};
 type Choice = Chosen | Full | None;
 
-/** A target in another zone counts as this much fuller, in slots' share: only near ties stay in the zone. */
+/** Score added for a target in another availability zone, as a share of its slots. Small, so that the own zone only decides near ties. */
 const remoteZonePenalty = 0.06;
-/** A target that always fails counts as this much fuller than one that never does, in slots' share. */
+/** Score added for a target that fails every request, as a share of its slots; proportional to the failure rate. */
 const failurePenalty = 2;
-/** A target that takes twice as long as the fastest counts as this much fuller, in slots' share. */
+/** Score added for each doubling of latency over the fastest target, as a share of its slots. */
 const latencyPenalty = 0.5;
-/** Near ties are broken at random within this share of the slots, so that entries do not all pick the same target. */
+/** Range of the random score, as a share of the slots: breaks near ties so that entries do not all choose the same target. */
 const tieBreakShare = 0.05;
 
 /**
- * Chooses the target with the most room, seen over all entries, and tells full from absent. One that has lately refused looks the
- * emptiest, and gets a request now and then only; one that is left alone, none while there is another.
+ * Chooses the least loaded target, by the load over all entries. The result distinguishes "all targets are full" from "no target".
+ *
+ * A doubtful target has recently refused requests, so it appears the least loaded: it gets probes, and other requests only if no
+ * sound target has capacity. An avoided target is used only if all targets are avoided.
  */
 export function chooseReplica(options: ChoiceOptions): Choice {
-	const open = options.targets.filter(({id}) => !options.excluded.has(id));
-	if (open.length === 0) {
+	const candidates = options.targets.filter(({id}) => !options.excluded.has(id));
+	if (candidates.length === 0) {
 		return {kind: 'none'};
 	}
 
-	const states = new Map(open.map(target => [target, options.getBreakerState(target.id)]));
-	const sound = open.filter(target => states.get(target) === 'sound');
-	const doubtful = open.filter(target => states.get(target) === 'doubtful');
+	const states = new Map(candidates.map(target => [target, options.getBreakerState(target.id)]));
+	const sound = candidates.filter(target => states.get(target) === 'sound');
+	const doubtful = candidates.filter(target => states.get(target) === 'doubtful');
 	const isProbe = doubtful.length > 0 && options.mayProbe();
 	const isAnyReachable = sound.length + doubtful.length > 0;
 	const target = (isProbe ? findLeastLoaded(doubtful, options) : undefined)
 		?? (options.isRetry ? findMostRecentlyServing(sound, options) : undefined)
 		?? findLeastLoaded(sound, options)
-		?? findLeastLoaded(isAnyReachable ? doubtful : open, options);
+		?? findLeastLoaded(isAnyReachable ? doubtful : candidates, options);
 	return target ? {kind: 'chosen', target} : {kind: 'full'};
 }
 
 const hasRoom = ({id, slots}: Target, {countInFlight: count, queueLength}: ChoiceOptions): boolean => count(id) < slots + queueLength;
 
-/*
- * What one target refused, another may refuse as well: the one that began to answer last is least likely to.
- */
+/* The cause of a refusal may apply to other targets as well; the target that most recently began to answer is the least likely to refuse. */
 function findMostRecentlyServing(targets: readonly Target[], options: ChoiceOptions): Target | undefined {
 	const serving = targets.filter(target => options.getServedAt(target.id) !== undefined && hasRoom(target, options));
 	return serving.toSorted((one, other) => options.getServedAt(other.id)! - options.getServedAt(one.id)!).at(0);
@@ -103,7 +103,7 @@
 	return fastest;
 }
 
-/* How much fuller a target counts than it is, for what is known against it. */
+/* Score added to a target's load for its zone, failures and latency. */
 function getPenalty(target: Target, fastestMs: number, options: ChoiceOptions): number {
 	const zone = target.availabilityZone === options.availabilityZone ? 0 : remoteZonePenalty;
 	const failures = failurePenalty * options.getFailureRate(target.id);
--- a/src/balance/crash-digest.ts
+++ b/src/balance/crash-digest.ts
@@ -1,12 +1,12 @@
 import {z} from 'zod';
 
-/** What entries tell each other of requests that may crash their targets. */
+/** Part of the message `entry-load`: requests that are suspected of crashing targets, as known to the sender. */
 const CrashDigest = z.object({
-	/** By fingerprint, the lives of targets that have crashed as they ran the request. */
+	/** For each request fingerprint, the target incarnations that crashed while they ran the request. */
 	suspects: z.record(z.string(), z.array(z.string())).optional(),
-	/** Of these lives, those at which the request had run for longer when they crashed. */
+	/** The subset of these incarnations in which the request had been running for some time at the crash, so that it may not be the cause. */
 	met: z.record(z.string(), z.array(z.string())).optional(),
-	/** Fingerprints of requests that have been answered, and so are not what crashed a target. */
+	/** Fingerprints of requests that a target has answered, and that are therefore not the cause of a crash. */
 	cleared: z.array(z.string()).optional(),
 });
 type CrashDigest = z.infer<typeof CrashDigest>;
--- a/src/balance/crash-suspects.ts
+++ b/src/balance/crash-suspects.ts
@@ -1,74 +1,78 @@
 import {type Target} from '../fleet/target.js';
 import {type CrashDigest} from './crash-digest.js';
 
-/** One life of a target. */
+/** One incarnation of a target: a restart under the same id gives a new one. */
 type Incarnation = Pick<Target, 'id' | 'bornAt'>;
 type LostRequest = {readonly fingerprint: string; readonly incarnation: Incarnation; readonly hasJustBegun: boolean};
 type LossRecord = LostRequest & {readonly at: number};
-/** Lives that have crashed as they ran the request, and whether they had just begun to. */
-type Suspect = {readonly lives: Map<string, boolean>; blockedUntil: number; changedAt: number; seenAt: number};
+/** Incarnations that crashed while they ran the request, and whether the request had just started there. Times in milliseconds. */
+type Suspect = {readonly incarnations: Map<string, boolean>; blockedUntil: number; changedAt: number; seenAt: number};
 
 /**
- * A request whose target crashed may have been one of several that ran there. So many targets that crashed as they had just begun to run
- * it accuse it, or so many at all: one that has run for longer may have met the crash of another.
+ * Crashes after which a request is blocked: either this many in which it had just started, or this many in total.
+ * A request that had been running for some time is weaker evidence, since another request may have caused the crash.
  */
 const earlyCrashesToBlock = 2;
 const crashesToBlock = 5;
 /**
- * How long a request that has crashed so many targets is refused, milliseconds; from the third one on, each crash doubles it. The
- * first is short, since two targets may also crash one after the other by themselves.
+ * Time for which a request is blocked, milliseconds. The first block is short, because two targets may also crash in
+ * succession for unrelated reasons. From the third crash just after the start on, the block begins at `secondBlockMs` and doubles
+ * with each further one.
  */
 const firstBlockMs = 10_000;
 const secondBlockMs = 120_000;
 const maximumBlockMs = 3_600_000;
-/** A target that has crashed shows a new life within this time, milliseconds; what was lost there before is laid to something else. */
+/**
+ * A target that has crashed is detected, or registers a new incarnation, within this time after its requests were lost,
+ * milliseconds. A request that was lost earlier is not attributed to the crash.
+ */
 const lossRetentionMs = 10_000;
-/** Peers are told what is new for so long, milliseconds: two of the longest times between two reports, and more. */
+/** Time for which a change is included in reports to peers, milliseconds: more than twice the maximum interval between reports. */
 const digestRetentionMs = 3000;
-/** Suspects that have neither come nor crashed a target for so long are forgotten, milliseconds. */
+/** Suspects that were neither requested nor lost in a crash for this time are evicted, milliseconds. */
 const suspectRetentionMs = 3_600_000;
-/** Suspects, losses, and requests that are known to be answered, that are kept at most; of more the oldest go. */
+/** Maximum number of suspects, lost requests and answered requests kept; beyond it the oldest are evicted. */
 const maximumSuspects = 1000;
 const maximumLosses = 1000;
 const maximumAnswered = 4096;
-/** Suspects that one report names at most. */
+/** Maximum number of suspects, and of cleared requests, in one report. */
 const maximumDigestItems = 40;
-/** Lives that are kept of one suspect. */
+/** Maximum number of incarnations kept for each suspect. */
 const maximumIncarnations = 8;
 
 const formatIncarnation = ({id, bornAt}: Incarnation): string => bornAt === undefined ? id : `${id} ${bornAt}`;
-const countEarlyCrashes = ({lives}: Pick<Suspect, 'lives'>): number => [...lives.values()].filter(Boolean).length;
-const isSuspected = (suspect: Pick<Suspect, 'lives'>): boolean => countEarlyCrashes(suspect) >= earlyCrashesToBlock || suspect.lives.size >= crashesToBlock;
-const evictOldest = (kept: Map<string, unknown> | Set<string>, most: number): void => {
+const countEarlyCrashes = ({incarnations}: Pick<Suspect, 'incarnations'>): number => [...incarnations.values()].filter(Boolean).length;
+const isSuspected = (suspect: Pick<Suspect, 'incarnations'>): boolean => countEarlyCrashes(suspect) >= earlyCrashesToBlock || suspect.incarnations.size >= crashesToBlock;
+const evictOldest = (kept: Map<string, unknown> | Set<string>, maximum: number): void => {
 	const [oldest] = kept.keys();
-	if (kept.size > most) {
+	if (kept.size > maximum) {
 		kept.delete(oldest);
 	}
 };
 
 /**
- * Pattern: a request crashes each target that begins to run it, and comes again. Sent on and on, it takes down one target after
- * the other, and what else they run with them.
+ * Detects requests that crash the targets that run them, and blocks them. Without it, such a request takes down one target after
+ * the other when it is retried or sent again, and with each target all other requests that run there.
  *
- * Every request that runs at a crash is a suspect; what others have asked for often, or goes on to be answered, is cleared.
- * Entries tell each other of both, so that the request is known wherever it comes again.
+ * Every request that runs on a target when it crashes becomes a suspect. A request that was answered before, or is answered later,
+ * is cleared. Entries exchange suspects and cleared requests, so that a request is recognised at every entry.
  */
 export class CrashSuspects {
 	private readonly suspects = new Map<string, Suspect>();
 	private readonly answered = new Set<string>();
-	/** Requests that were cleared of a suspicion, and when. */
+	/** Requests that are no longer suspects, and when they were cleared, milliseconds. */
 	private readonly cleared = new Map<string, number>();
 	private losses: LossRecord[] = [];
 
 	constructor(private readonly log: (message: string) => void) {}
 
 	/**
-	 * Whether a request is to be refused. Once its time is over, it is let through once, to see whether it still crashes its target.
+	 * Gets for how long a request is refused. When its block is over, one request is let through as a probe.
 	 *
-	 * @param mayTry - whether it is for this entry to see that, and not for one of its peers
-	 * @returns milliseconds for which it is refused; 0 when it may be sent
+	 * @param mayProbe - whether this entry, rather than a peer, may send the probe
+	 * @returns milliseconds for which the request is refused; 0 when it may be sent
 	 */
-	getBlockMs(fingerprint: string, mayTry: () => boolean, now: number): number {
+	getBlockMs(fingerprint: string, mayProbe: () => boolean, now: number): number {
 		const suspect = this.suspects.get(fingerprint);
 		if (!suspect) {
 			return 0;
@@ -83,7 +87,7 @@
 			return suspect.blockedUntil - now;
 		}
 
-		if (!mayTry()) {
+		if (!mayProbe()) {
 			return firstBlockMs;
 		}
 
@@ -91,7 +95,7 @@
 		return 0;
 	}
 
-	/** Notes that a target has answered a request to its end: it does not crash those that run it. */
+	/** Notes that a target has answered a request completely, so that it is not a cause of crashes. */
 	noteAnswered(fingerprint: string, now: number): void {
 		this.answered.delete(fingerprint);
 		this.answered.add(fingerprint);
@@ -99,52 +103,52 @@
 		this.clear(fingerprint, now);
 	}
 
-	/** Notes that a request's connection ended before its answer; what for, its target's next life may tell. */
+	/** Notes that a connection closed before the answer was complete. Whether the target crashed is learned later. */
 	noteLoss(lost: LostRequest, now: number): void {
 		this.losses = this.losses.filter(({at}) => now - at <= lossRetentionMs).slice(-maximumLosses);
 		this.losses.push({...lost, at: now});
 	}
 
-	/** Notes that a target has crashed: what it ran was lost by that. Gives whether that accuses any request. */
+	/** Notes that a target has crashed, and attributes its recently lost requests to the crash. Returns whether there were any. */
 	noteCrash(target: string, now: number): boolean {
-		const lost = this.losses.filter(({incarnation: life, at}) => life.id === target && now - at <= lossRetentionMs);
+		const lost = this.losses.filter(({incarnation, at}) => incarnation.id === target && now - at <= lossRetentionMs);
 		this.losses = this.losses.filter(loss => !lost.includes(loss));
-		for (const {fingerprint, incarnation: life, hasJustBegun} of lost) {
-			this.addCrashes(fingerprint, [[formatIncarnation(life), hasJustBegun]], now);
+		for (const {fingerprint, incarnation, hasJustBegun} of lost) {
+			this.addCrashes(fingerprint, [[formatIncarnation(incarnation), hasJustBegun]], now);
 		}
 
 		return lost.length > 0;
 	}
 
 	/**
-	 * What peers are told.
+	 * Gets the digest for peers.
 	 *
-	 * @param isWhole - whether the peer may have heard nothing yet
+	 * @param isFull - whether to include all blocked requests, for a peer that may not have received any report yet
 	 */
-	getDigest(isWhole: boolean, now: number): CrashDigest {
-		const told = [...this.suspects].filter(([, {changedAt, blockedUntil}]) => now - changedAt <= digestRetentionMs || (isWhole && blockedUntil > now)).slice(-maximumDigestItems);
+	getDigest(isFull: boolean, now: number): CrashDigest {
+		const reported = [...this.suspects].filter(([, {changedAt, blockedUntil}]) => now - changedAt <= digestRetentionMs || (isFull && blockedUntil > now)).slice(-maximumDigestItems);
 		const cleared = [...this.cleared].filter(([, at]) => now - at <= digestRetentionMs).slice(-maximumDigestItems).map(([fingerprint]) => fingerprint);
 		return {
-			...(told.length > 0 && {
-				suspects: Object.fromEntries(told.map(([fingerprint, {lives}]) => [fingerprint, [...lives.keys()]])),
-				met: Object.fromEntries(told.map(([fingerprint, {lives}]) => [fingerprint, [...lives].filter(([, hasJustBegun]) => !hasJustBegun).map(([life]) => life)])),
+			...(reported.length > 0 && {
+				suspects: Object.fromEntries(reported.map(([fingerprint, {incarnations}]) => [fingerprint, [...incarnations.keys()]])),
+				met: Object.fromEntries(reported.map(([fingerprint, {incarnations}]) => [fingerprint, [...incarnations].filter(([, hasJustBegun]) => !hasJustBegun).map(([name]) => name)])),
 			}),
 			...(cleared.length > 0 && {cleared}),
 		};
 	}
 
-	/** Takes what a peer tells. What this entry knows to be answered it clears, and so tells the others. */
+	/** Merges a peer's digest. Suspects that this entry knows to be answered are cleared, and reported as such to the peers. */
 	merge({suspects, met, cleared}: CrashDigest, now: number): void {
 		for (const fingerprint of cleared ?? []) {
 			this.noteAnswered(fingerprint, now);
 		}
 
-		for (const [fingerprint, lives] of Object.entries(suspects ?? {})) {
-			this.addCrashes(fingerprint, lives.map(life => [life, !met?.[fingerprint]?.includes(life)]), now);
+		for (const [fingerprint, incarnations] of Object.entries(suspects ?? {})) {
+			this.addCrashes(fingerprint, incarnations.map(incarnation => [incarnation, !met?.[fingerprint]?.includes(incarnation)]), now);
 		}
 	}
 
-	/** Forgets what is old. */
+	/** Evicts entries that have expired. */
 	tick(now: number): void {
 		for (const [fingerprint, {seenAt}] of this.suspects) {
 			if (now - seenAt > suspectRetentionMs) {
@@ -159,19 +163,19 @@
 		}
 	}
 
-	private addCrashes(fingerprint: string, lives: ReadonlyArray<readonly [string, boolean]>, now: number): void {
+	private addCrashes(fingerprint: string, incarnations: ReadonlyArray<readonly [string, boolean]>, now: number): void {
 		if (this.answered.has(fingerprint)) {
 			this.cleared.set(fingerprint, now);
 			return;
 		}
 
 		const suspect = this.suspects.get(fingerprint) ?? {
-			lives: new Map<string, boolean>(), blockedUntil: 0, changedAt: now, seenAt: now,
+			incarnations: new Map<string, boolean>(), blockedUntil: 0, changedAt: now, seenAt: now,
 		};
-		const isNew = lives.some(([life]) => !suspect.lives.has(life));
-		for (const [life, hasJustBegun] of lives) {
-			suspect.lives.set(life, hasJustBegun);
-			evictOldest(suspect.lives, maximumIncarnations);
+		const isNew = incarnations.some(([incarnation]) => !suspect.incarnations.has(incarnation));
+		for (const [incarnation, hasJustBegun] of incarnations) {
+			suspect.incarnations.set(incarnation, hasJustBegun);
+			evictOldest(suspect.incarnations, maximumIncarnations);
 		}
 
 		this.suspects.set(fingerprint, suspect);
@@ -188,10 +192,10 @@
 			return;
 		}
 
-		const more = countEarlyCrashes(suspect) - earlyCrashesToBlock;
-		const blockMs = more <= 0 ? firstBlockMs : Math.min(maximumBlockMs, secondBlockMs * (2 ** (more - 1)));
+		const extraCrashes = countEarlyCrashes(suspect) - earlyCrashesToBlock;
+		const blockMs = extraCrashes <= 0 ? firstBlockMs : Math.min(maximumBlockMs, secondBlockMs * (2 ** (extraCrashes - 1)));
 		suspect.blockedUntil = now + blockMs;
-		this.log(`request ${fingerprint} is refused for ${blockMs} ms: targets crashed as they ran it (${[...suspect.lives.keys()].join(', ')})`);
+		this.log(`request ${fingerprint} is refused for ${blockMs} ms: targets crashed while they ran it (${[...suspect.incarnations.keys()].join(', ')})`);
 	}
 
 	private clear(fingerprint: string, now: number): void {
@@ -203,7 +207,7 @@
 		this.suspects.delete(fingerprint);
 		this.cleared.set(fingerprint, now);
 		if (suspect.blockedUntil > now) {
-			this.log(`request ${fingerprint} is not refused any more: a target has answered it`);
+			this.log(`request ${fingerprint} is no longer refused: a target has answered it`);
 		}
 	}
 }
--- a/src/balance/in-flight-counts.ts
+++ b/src/balance/in-flight-counts.ts
@@ -1,10 +1,10 @@
 type OwnLoad = {requests: number; lastProgressAt: number; lastStartAt: number};
 type PeerLoad = {readonly at: number; readonly inFlight: Readonly<Record<string, number>>};
 
-/** What a peer said of its requests counts for so long after it was heard last, milliseconds; streams last a few seconds. */
+/** Lifetime of a peer's counts after its last report, milliseconds; streams last a few seconds. */
 const peerCountsLifetimeMs = 3000;
 
-/** Requests in flight at each target: this entry's own, exactly, and those of its peers as last heard. */
+/** Requests in flight at each target: exact counts of this entry, and the latest reported counts of its peers. */
 export class InFlightCounts {
 	private readonly own = new Map<string, OwnLoad>();
 	private readonly peers = new Map<string, PeerLoad>();
@@ -12,48 +12,48 @@
 	/** @param onChange - called when this entry's own counts change */
 	constructor(private readonly onChange: () => void = () => undefined) {}
 
-	/** Notes a request that is sent to a target. */
+	/** Counts a request that is sent to a target. */
 	noteStart(target: string, now: number): void {
-		const entry = this.own.get(target) ?? {requests: 0, lastProgressAt: now, lastStartAt: now};
-		if (entry.requests === 0) {
-			entry.lastProgressAt = now;
+		const load = this.own.get(target) ?? {requests: 0, lastProgressAt: now, lastStartAt: now};
+		if (load.requests === 0) {
+			load.lastProgressAt = now;
 		}
 
-		entry.requests++;
-		entry.lastStartAt = now;
-		this.own.set(target, entry);
+		load.requests++;
+		load.lastStartAt = now;
+		this.own.set(target, load);
 		this.onChange();
 	}
 
-	/** Notes that the target sent something. */
+	/** Notes that a target has sent part of an answer. */
 	noteProgress(target: string, now: number): void {
-		const entry = this.own.get(target);
-		if (entry) {
-			entry.lastProgressAt = now;
+		const load = this.own.get(target);
+		if (load) {
+			load.lastProgressAt = now;
 		}
 	}
 
 	/** Notes the end of a request. */
 	noteEnd(target: string): void {
-		const entry = this.own.get(target);
-		if (entry) {
-			entry.requests--;
+		const load = this.own.get(target);
+		if (load) {
+			load.requests--;
 			this.onChange();
 		}
 	}
 
-	/** Milliseconds for which a target with requests of this entry has sent nothing; 0 when it has none. */
+	/** Time since a target with requests of this entry last sent anything, milliseconds; 0 when it has no such requests. */
 	getSilenceMs(target: string, now: number): number {
-		const entry = this.own.get(target);
-		return entry && entry.requests > 0 ? now - entry.lastProgressAt : 0;
+		const load = this.own.get(target);
+		return load && load.requests > 0 ? now - load.lastProgressAt : 0;
 	}
 
-	/** Takes what a peer has in flight. */
+	/** Replaces a peer's counts. */
 	merge(peer: string, inFlight: Readonly<Record<string, number>>, now: number): void {
 		this.peers.set(peer, {at: now, inFlight});
 	}
 
-	/** Requests in flight at a target, over all entries. */
+	/** Requests in flight at a target, summed over all entries. */
 	count(target: string, now: number): number {
 		let requests = this.own.get(target)?.requests ?? 0;
 		for (const [peer, {at, inFlight}] of this.peers) {
@@ -67,12 +67,12 @@
 		return requests;
 	}
 
-	/** Peers that were heard lately. */
+	/** Number of peers whose counts have not expired. */
 	countLivePeers(now: number): number {
 		return [...this.peers.values()].filter(({at}) => now - at <= peerCountsLifetimeMs).length;
 	}
 
-	/** This entry's own requests by target, for its peers. */
+	/** This entry's requests in flight by target, as reported to peers. */
 	getOwnCounts(): Record<string, number> {
 		const inFlight: Record<string, number> = {};
 		for (const [target, {requests}] of this.own) {
@@ -84,7 +84,7 @@
 		return inFlight;
 	}
 
-	/** Forgets targets that are gone and have no requests. */
+	/** Removes targets that are no longer registered and have no requests. */
 	prune(isKnown: (target: string) => boolean): void {
 		for (const [target, {requests}] of this.own) {
 			if (requests === 0 && !isKnown(target)) {
--- a/src/balance/limit-buckets.ts
+++ b/src/balance/limit-buckets.ts
@@ -1,33 +1,33 @@
 import {TokenBucket} from '../limits/token-bucket.js';
 
-/** What a keeper answers: whether a request may be sent, and how long until the next one may, milliseconds. */
+/** Whether a request may be sent now, and the time until the next permit, milliseconds. Sent to peers in the message `permit`. */
 type Permit = {readonly isGranted: boolean; readonly nextMs: number};
 
 type Limit = {
 	readonly target: string;
-	/** Requests per second that the target takes from all entries together. */
+	/** Requests per second that the target accepts from all entries together. */
 	readonly perSecond: number;
-	/** Part of it that is given out here, 0 to 1. */
+	/** Share of the limit that is granted by this entry, 0 to 1. */
 	readonly share: number;
 };
 
 type Bucket = {readonly tokens: TokenBucket; takenAt: number};
 
 /**
- * Least rate at which a limited target gets requests, per second. It is its answers that tell that a limit has ended, so one that
- * takes nothing gets a request now and then.
+ * Minimum rate of requests to a limited target, per second. Only the target's answers show that a limit has ended, so even a
+ * target with a limit of 0 gets an occasional request.
  */
 const minimumPerSecond = 0.2;
-/** Permits that nobody wanted gather for so long, seconds, and one at least: demand is uneven. */
+/** Capacity of a bucket in seconds of its rate, at least one permit: allows for uneven demand. */
 const burstSeconds = 0.25;
-/** A bucket from which nothing was taken for so long is dropped, milliseconds. */
+/** Unused buckets are dropped after this time, milliseconds. */
 const idleMs = 60_000;
 
-/** Gives out permits for requests to targets that name limits, at the rates that they name. */
+/** Grants permits for requests to targets that announce rate limits, with one token bucket for each target. */
 export class LimitBuckets {
 	private readonly buckets = new Map<string, Bucket>();
 
-	/** Takes a permit for one request. */
+	/** Takes a permit for one request; the permit is not granted if the bucket is empty. */
 	take({target, perSecond, share: part}: Limit, now: number): Permit {
 		const rate = Math.max(minimumPerSecond, perSecond) * part;
 		const {tokens} = this.get(target, rate, now);
@@ -40,16 +40,16 @@
 		return {isGranted: true, nextMs: tokens.getWaitMs(1, now)};
 	}
 
-	/** Drops buckets that are not used, and those of targets that are not kept here. */
-	tick(now: number, isKept: (target: string) => boolean): void {
+	/** Drops unused buckets, and those of targets whose permits another entry grants. */
+	tick(now: number, isOwned: (target: string) => boolean): void {
 		for (const [target, {takenAt}] of this.buckets) {
-			if (now - takenAt > idleMs || !isKept(target)) {
+			if (now - takenAt > idleMs || !isOwned(target)) {
 				this.buckets.delete(target);
 			}
 		}
 	}
 
-	/* A new one is empty: another entry may have given out permits until just now. */
+	/* A new bucket is empty, because another entry may have granted permits until now. */
 	private get(target: string, rate: number, now: number): Bucket {
 		const burst = Math.max(1, burstSeconds * rate);
 		const known = this.buckets.get(target);
--- a/src/balance/limit-digest.ts
+++ b/src/balance/limit-digest.ts
@@ -1,12 +1,12 @@
 import {z} from 'zod';
 import {Target} from '../fleet/target.js';
 
-/** What an entry has read itself of a target's limit, for its peers. */
+/** A target's rate limit as the sender read it in an answer of the target; part of the message `entry-load`. */
 const LimitDigest = z.object({
 	...Target.pick({id: true, bornAt: true}).shape,
-	/** Requests per second that the target takes from all entries together; absent where it has stopped naming a limit. */
+	/** Requests per second that the target accepts from all entries together; absent when it has stopped announcing a limit. */
 	perSecond: z.number().min(0).optional(),
-	/** How long ago it was read, milliseconds. */
+	/** Age of the statement, milliseconds. */
 	agoMs: z.number().min(0),
 });
 type LimitDigest = z.infer<typeof LimitDigest>;
--- a/src/balance/probe-budget.ts
+++ b/src/balance/probe-budget.ts
@@ -1,22 +1,22 @@
-/** Requests that a service's probes may have, as a share of those that can be sent elsewhere if they are refused. */
+/** Probes allowed for each request that can be retried elsewhere if the probe is refused. */
 const repeatableShare = 0.1;
-/** The same of requests that may be sent once only: who is refused has to come back, so that few of them are risked. */
+/** The same for requests that may be sent only once. It is lower, because a refused request fails for its caller. */
 const nonRepeatableShare = 0.02;
 
 /**
- * Bounds how many requests are sent to see whether targets that have refused take some again: by the requests that there are, so
- * that neither more entries nor more such targets turn most requests into probes.
+ * Limits the probes of targets that have refused requests, in proportion to the requests of their service. The share of requests
+ * spent on probes is therefore independent of the number of entries and of such targets.
  */
 export class ProbeBudget {
 	private readonly credits = new Map<string, number>();
 
-	/** Notes a request for a service; what is not used up does not gather. */
+	/** Counts a request for a service. At most one unused probe is saved. */
 	noteRequest(service: string, isRepeatable: boolean): void {
 		const share = isRepeatable ? repeatableShare : nonRepeatableShare;
 		this.credits.set(service, Math.min(1, (this.credits.get(service) ?? 0) + share));
 	}
 
-	/** Takes one probe of a service; false when it is too soon for one. */
+	/** Takes one probe of a service; false when none is available yet. */
 	takeProbe(service: string): boolean {
 		if ((this.credits.get(service) ?? 0) < 1) {
 			return false;
--- a/src/balance/service-breaker.ts
+++ b/src/balance/service-breaker.ts
@@ -1,24 +1,24 @@
 type Outage = {readonly since: number; nextProbeAt: number; retryAt: number};
 
-/** Time between two requests that are let through to see whether a service that is down runs again, milliseconds. */
+/** Interval between probes of a service that is down, milliseconds. */
 const probeIntervalMs = 300;
 /**
- * Time for which a group gets nothing while others of its service run, milliseconds, unless it is known to run again. What is
- * sent to a group that has stopped is held for its stall time, and then goes on late.
+ * Time for which a stopped group gets no requests while other groups of its service run, milliseconds, unless it is known to run
+ * again. A request sent to a stopped group waits until it is detected as stalled, and is then retried late.
  */
 const groupBackoffMs = 2000;
 
 /**
- * Keeps requests from targets that depend on each other and are all stopped, as a group of ranks is while one of them is
- * lost: a group where it is known, a whole service otherwise. One request now and then is let through to see whether it
- * runs again.
+ * Circuit breaker for targets that depend on each other and stop together, as the ranks of a group do when one of them is lost.
+ * The unit is a group where the group is known, else a whole service. While a unit is down, one request per interval is let
+ * through as a probe.
  */
 export class ServiceBreaker {
 	private readonly outages = new Map<string, Outage>();
 
 	constructor(private readonly log: (message: string) => void) {}
 
-	/** Notes that a service does not run, and how that is known. */
+	/** Notes that a service is down, and why. */
 	noteDown(service: string, now: number, cause: string): void {
 		const outage = this.outages.get(service);
 		if (outage) {
@@ -29,7 +29,7 @@
 		}
 	}
 
-	/** Notes that a target of the service does its work. */
+	/** Notes that a target of the service has made progress, so that the service runs. */
 	noteRunning(service: string, now: number): void {
 		const outage = this.outages.get(service);
 		if (!outage) {
@@ -40,12 +40,12 @@
 		this.log(`service ${service} runs again after ${Math.round(now - outage.since)} ms`);
 	}
 
-	/** Whether requests should go to the other groups of a service: this one has stopped, and nothing says that it runs again. */
+	/** Whether requests should go to other groups of the service: this group has stopped and is not known to run again. */
 	isAvoided(group: string, now: number): boolean {
 		return now < (this.outages.get(group)?.retryAt ?? 0);
 	}
 
-	/** Notes that the request let through told nothing of the service, so that the next may take its place. */
+	/** Notes that the last probe had no conclusive result, so that the next request may be a probe. */
 	allowNextProbe(service: string, now: number): void {
 		const outage = this.outages.get(service);
 		if (outage) {
@@ -53,7 +53,7 @@
 		}
 	}
 
-	/** Whether a request may go to the service; while it is down, one now and then. */
+	/** Whether a request may be sent to the service; while it is down, only probes may. */
 	admit(service: string, now: number): boolean {
 		const outage = this.outages.get(service);
 		if (!outage) {
--- a/src/balance/shared-retry-budget.ts
+++ b/src/balance/shared-retry-budget.ts
@@ -1,24 +1,24 @@
-type Bucket = {readonly start: number; requests: number; repeats: number};
+type Bucket = {readonly start: number; requests: number; retries: number};
 
 type BudgetOptions = {
-	/** Repeats allowed for each request. */
+	/** Retries allowed for each request. */
 	readonly ratio: number;
-	/** Repeats allowed in a window beyond that, over all entries. */
+	/** Additional retries allowed in each window, over all entries together. */
 	readonly slack: number;
 	/** Length of the sliding window, milliseconds. */
 	readonly windowMs: number;
-	/** Entries that share the slack. */
+	/** Number of entries that share the slack. */
 	readonly countEntries: (now: number) => number;
 };
 
-/** Parts of a window that are counted by themselves. */
+/** Buckets into which the sliding window is divided. */
 const bucketsPerWindow = 20;
-/** Share of the budget that this entry's part is reckoned from; the rest covers entries that see one another late. */
+/** Share of the budget that is used. The remainder covers entries that have not discovered each other yet. */
 const budgetShare = 0.8;
 
 /**
- * Keeps the sends beyond the first of each request within a budget that all entries share without talk for each: an
- * entry may use its own requests' share, and an equal part of the slack.
+ * Retry budget of all entries together, kept without coordination on each request: each entry may use the share of its own
+ * requests and an equal part of the slack. A retry is any send of a request after its first.
  */
 export class SharedRetryBudget {
 	private readonly buckets = new Map<string, Bucket[]>();
@@ -26,28 +26,28 @@
 
 	constructor(private readonly options: BudgetOptions) {}
 
-	/** Notes a request for a service. */
+	/** Counts a request for a service. */
 	noteRequest(service: string, now: number): void {
 		this.getBucket(service, now).requests++;
 	}
 
-	/** Takes one repeat at a service; false when this entry's part is used up. */
+	/** Takes one retry at a service; false when this entry's part of the budget is used up. */
 	takeRetry(service: string, now: number): boolean {
 		const bucket = this.getBucket(service, now);
 		this.maximumEntries = Math.max(this.maximumEntries, this.options.countEntries(now));
 		let requests = 0;
-		let repeats = 0;
+		let retries = 0;
 		for (const entry of this.buckets.get(service)!) {
 			requests += entry.requests;
-			repeats += entry.repeats;
+			retries += entry.retries;
 		}
 
 		const allowed = budgetShare * ((requests * this.options.ratio) + (this.options.slack / this.maximumEntries));
-		if (repeats + 1 > allowed) {
+		if (retries + 1 > allowed) {
 			return false;
 		}
 
-		bucket.repeats++;
+		bucket.retries++;
 		return true;
 	}
 
@@ -61,7 +61,7 @@
 			return last;
 		}
 
-		const bucket = {start: now, requests: 0, repeats: 0};
+		const bucket = {start: now, requests: 0, retries: 0};
 		buckets.push(bucket);
 		return bucket;
 	}
--- a/src/balance/target-cooldowns.ts
+++ b/src/balance/target-cooldowns.ts
@@ -1,80 +1,82 @@
 import {type Target} from '../fleet/target.js';
 
+/** A cooldown of a target; `sends` counts the requests sent to it during that time. Times in milliseconds. */
 type Cooldown = {readonly target: Target; readonly since: number; until: number; sends: number; unregisteredAt: number | undefined};
 
-/** How the target asked for it. */
+/** A target's request for a cooldown, as read from its answer. */
 type CooldownRequest = {
 	readonly durationMs: number;
-	/** Status of the answer, and its words. */
+	/** HTTP status of the answer, and its Retry-After header. */
 	readonly status: number;
 	readonly retryAfter: string;
-	/** Requests of all entries under way there. */
+	/** Requests in flight at the target, summed over all entries. */
 	readonly inFlight: number;
 };
 
 /**
- * A rest is kept for so long after its target's registration has gone, milliseconds: one that lapsed while the store was away may
- * still come back, and the target goes on resting.
+ * Time for which a cooldown is kept after its target's registration has gone, milliseconds: a registration that lapsed while the
+ * store was unavailable may come back, and the cooldown then still applies.
  */
 const unregisteredRetentionMs = 10_000;
 
 /**
- * Targets that have asked this process to send them nothing for a while, which is kept whoever would be sent: requests, repeats,
- * resumed streams, probes. What is asked of other entries is theirs alone, since a target may turn away some of its callers only.
+ * Targets that have asked this process not to send them requests for a while (Retry-After). It applies to everything that is sent:
+ * requests, retries, resumed streams and probes. Cooldowns are not shared with other entries, since a target may refuse only some
+ * of its callers.
  */
 export class TargetCooldowns {
 	private readonly cooldowns = new Map<string, Cooldown>();
 
 	constructor(private readonly log: (message: string) => void) {}
 
-	/** Notes what a target asks for. A shorter rest does not end a longer one that it asked for before. */
-	start(target: Target, {durationMs: restMs, status, retryAfter, inFlight}: CooldownRequest, now: number): void {
-		const rest = this.cooldowns.get(target.id);
-		if (rest) {
-			rest.until = Math.max(rest.until, now + restMs);
+	/** Starts or extends a cooldown. A shorter one does not end a longer one that was requested before. */
+	start(target: Target, {durationMs, status, retryAfter, inFlight}: CooldownRequest, now: number): void {
+		const cooldown = this.cooldowns.get(target.id);
+		if (cooldown) {
+			cooldown.until = Math.max(cooldown.until, now + durationMs);
 			return;
 		}
 
 		this.cooldowns.set(target.id, {
-			target, since: now, until: now + restMs, sends: 0, unregisteredAt: undefined,
+			target, since: now, until: now + durationMs, sends: 0, unregisteredAt: undefined,
 		});
-		this.log(`target ${target.id} of ${target.service} asks for ${Math.round(restMs)} ms of rest (${status}, Retry-After ${retryAfter}), ${inFlight} requests under way there`);
+		this.log(`target ${target.id} of ${target.service} asks for a cooldown of ${Math.round(durationMs)} ms (${status}, Retry-After ${retryAfter}), ${inFlight} requests in flight there`);
 	}
 
-	/** Targets that rest. */
+	/** Number of targets in cooldown. */
 	get size(): number {
 		return this.cooldowns.size;
 	}
 
-	/** Milliseconds for which a target still wants nothing; 0 when it takes requests. */
+	/** Remaining cooldown of a target, milliseconds; 0 when it accepts requests. */
 	getRemainingMs(target: string, now: number): number {
 		return Math.max(0, (this.cooldowns.get(target)?.until ?? 0) - now);
 	}
 
-	/** Notes that a request is sent to a target, so that the end of a rest tells whether it was kept. */
+	/** Counts a request that is sent to a target during its cooldown, for the log line at the end. */
 	noteSend(target: string, now: number): void {
-		const rest = this.cooldowns.get(target);
-		if (rest && now < rest.until) {
-			rest.sends++;
+		const cooldown = this.cooldowns.get(target);
+		if (cooldown && now < cooldown.until) {
+			cooldown.sends++;
 		}
 	}
 
-	/** Ends the rests that are over, and forgets those of targets that are gone. */
+	/** Ends cooldowns that are over, and removes those of targets that are no longer registered. */
 	tick(now: number, isKnown: (target: string) => boolean): void {
-		for (const [id, rest] of this.cooldowns) {
-			const {target, since, until, sends} = rest;
-			rest.unregisteredAt = isKnown(id) ? undefined : rest.unregisteredAt ?? now;
+		for (const [id, cooldown] of this.cooldowns) {
+			const {target, since, until, sends} = cooldown;
+			cooldown.unregisteredAt = isKnown(id) ? undefined : cooldown.unregisteredAt ?? now;
 			if (now >= until) {
 				this.cooldowns.delete(id);
-				this.log(`target ${id} of ${target.service} has had its rest of ${Math.round(until - since)} ms, ${sends} requests were sent to it meanwhile`);
-			} else if (rest.unregisteredAt !== undefined && now - rest.unregisteredAt > unregisteredRetentionMs) {
+				this.log(`target ${id} of ${target.service} has completed its cooldown of ${Math.round(until - since)} ms, ${sends} requests were sent to it during that time`);
+			} else if (cooldown.unregisteredAt !== undefined && now - cooldown.unregisteredAt > unregisteredRetentionMs) {
 				this.cooldowns.delete(id);
-				this.log(`target ${id} of ${target.service} is gone within its rest`);
+				this.log(`target ${id} of ${target.service} was removed during its cooldown`);
 			}
 		}
 	}
 
-	/** Forgets the rest of a target that has started again: its new life knows nothing of it. */
+	/** Removes the cooldown of a target that has restarted: the new incarnation did not ask for it. */
 	forget(target: string): void {
 		this.cooldowns.delete(target);
 	}
--- a/src/balance/target-limits.ts
+++ b/src/balance/target-limits.ts
@@ -1,92 +1,95 @@
 import {type Target} from '../fleet/target.js';
 import {type LimitDigest} from './limit-digest.js';
 
-/** One life of a target. */
+/** One incarnation of a target: a restart under the same id gives a new one. */
 type Incarnation = Pick<Target, 'id' | 'bornAt'>;
 
-/** What is known of one target's limit. */
+/** The limit of one target. Times in milliseconds. */
 type LimitRecord = {
-	readonly life: Incarnation;
-	/** Undefined once the target names none any more. */
+	readonly incarnation: Incarnation;
+	/** Requests per second; undefined once the target announces no limit. */
 	perSecond: number | undefined;
-	/** When an answer last said so, here or at the peer that it was heard from. */
-	saidAt: number;
-	/** Whether the answer came to this entry, which then tells its peers. */
+	/** Time of the last answer that stated this, received here or by the peer that reported it. */
+	statedAt: number;
+	/** Whether this entry received the answer, so that it reports the limit to its peers. */
 	isOwn: boolean;
-	/** When the limit began, as far as known here, and how many requests this entry has sent since. */
+	/** Time at which the limit began, as far as known here, and requests that this entry has sent since. */
 	since: number;
 	sends: number;
 	loggedAt: number;
-	goneAt: number | undefined;
+	unregisteredAt: number | undefined;
 };
 
-/** What an answer says of it: a rate; that there is one which cannot be read; or nothing. */
-type Statement = {readonly perSecond: number | undefined} | undefined;
-/** What was said of it, when, and to whom. */
-type LimitUpdate = {readonly perSecond: number | undefined; readonly saidAt: number; readonly isOwn: boolean};
+/** The limit in an answer: a rate; undefined `perSecond` when it is present but cannot be parsed; undefined when absent. */
+type LimitStatement = {readonly perSecond: number | undefined} | undefined;
+/** A statement on a limit, when it was made (milliseconds), and whether to this entry. */
+type LimitUpdate = {readonly perSecond: number | undefined; readonly statedAt: number; readonly isOwn: boolean};
 
-/** Least time between two lines on changes of one target's limit, milliseconds: a rate may change with each answer. */
+/** Minimum interval between two log lines on changes of one target's limit, milliseconds: a rate may change with each answer. */
 const changeLogIntervalMs = 1000;
-/** That a limit has ended is remembered for so long, milliseconds: an older digest of a peer, late on its way, is not believed then. */
+/** Time for which the end of a limit is remembered, milliseconds, so that an older report of a peer that arrives late is ignored. */
 const endedRetentionMs = 5000;
-/** A limit outlasts its target's registration by so long, milliseconds: one that lapsed while the store was away may come back. */
+/**
+ * Time for which a limit is kept after its target's registration has gone, milliseconds: a registration that lapsed while the
+ * store was unavailable may come back.
+ */
 const unregisteredRetentionMs = 10_000;
 
-/** Targets that take so many requests a second from all entries together, for as long as their answers say so. */
+/** Rate limits that targets announce in their answers; each applies to the requests of all entries together. */
 export class TargetLimits {
 	private readonly records = new Map<string, LimitRecord>();
 
 	constructor(private readonly log: (message: string) => void) {}
 
-	/** Targets that name a limit. */
+	/** Number of targets that announce a limit. */
 	get size(): number {
 		return [...this.records.values()].filter(({perSecond}) => perSecond !== undefined).length;
 	}
 
 	/**
-	 * Takes what an answer says. One that names none ends a limit if its request was sent after the limit was last named: answers
-	 * overtake each other, and an older one says nothing of now. One that names what cannot be read changes nothing.
+	 * Records the limit in an answer. An answer without a limit ends the limit only if its request was sent after the limit was
+	 * last announced, because answers may arrive out of order. An answer with a limit that cannot be parsed changes nothing.
 	 *
-	 * @param sentAt - when the request was sent that the answer was waited for, milliseconds
+	 * @param sentAt - time at which the answered request was sent, milliseconds
 	 */
-	noteAnswer(life: Incarnation, statement: Statement, sentAt: number, now: number): void {
-		const known = this.records.get(life.id);
+	noteAnswer(incarnation: Incarnation, statement: LimitStatement, sentAt: number, now: number): void {
+		const known = this.records.get(incarnation.id);
 		if (statement === undefined) {
-			if (known?.perSecond !== undefined && sentAt >= known.saidAt) {
-				this.update(life, {perSecond: undefined, saidAt: now, isOwn: true}, now);
+			if (known?.perSecond !== undefined && sentAt >= known.statedAt) {
+				this.update(incarnation, {perSecond: undefined, statedAt: now, isOwn: true}, now);
 			}
 		} else if (statement.perSecond !== undefined) {
-			this.update(life, {perSecond: statement.perSecond, saidAt: now, isOwn: true}, now);
+			this.update(incarnation, {perSecond: statement.perSecond, statedAt: now, isOwn: true}, now);
 		}
 	}
 
-	/** Takes what a peer has read, if that is newer than what is known here. */
+	/** Merges a limit that a peer has received, if it is newer than what is known here. */
 	merge({id, bornAt, perSecond, agoMs}: LimitDigest, now: number): void {
-		const saidAt = now - agoMs;
+		const statedAt = now - agoMs;
 		const known = this.records.get(id);
-		if (known ? saidAt > known.saidAt : perSecond !== undefined) {
-			this.update({id, bornAt}, {perSecond, saidAt, isOwn: false}, now);
+		if (known ? statedAt > known.statedAt : perSecond !== undefined) {
+			this.update({id, bornAt}, {perSecond, statedAt, isOwn: false}, now);
 		}
 	}
 
-	/** What peers are told: only what this entry has read itself. */
+	/** Gets the digest for peers: only limits that this entry has received itself. */
 	getDigest(now: number): LimitDigest[] {
-		return [...this.records.values()].filter(({isOwn}) => isOwn).map(({life: {id, bornAt}, perSecond, saidAt}) => ({
-			id, ...(bornAt !== undefined && {bornAt}), ...(perSecond !== undefined && {perSecond}), agoMs: Math.max(0, Math.round(now - saidAt)),
+		return [...this.records.values()].filter(({isOwn}) => isOwn).map(({incarnation: {id, bornAt}, perSecond, statedAt}) => ({
+			id, ...(bornAt !== undefined && {bornAt}), ...(perSecond !== undefined && {perSecond}), agoMs: Math.max(0, Math.round(now - statedAt)),
 		}));
 	}
 
-	/** Requests per second that a target takes from all entries together; undefined when it names no limit. */
+	/** Requests per second that a target accepts from all entries together; undefined when it announces no limit. */
 	get(target: string): number | undefined {
 		return this.records.get(target)?.perSecond;
 	}
 
-	/** How long ago a target last named its limit, milliseconds. */
+	/** Time since a target last announced its limit, milliseconds. */
 	getAgeMs(target: string, now: number): number {
-		return now - (this.records.get(target)?.saidAt ?? now);
+		return now - (this.records.get(target)?.statedAt ?? now);
 	}
 
-	/** Notes that a request is sent to a target, so that the log tells what this entry adds to a limit. */
+	/** Counts a request that is sent to a target, for the log lines on its limit. */
 	noteSend(target: string): void {
 		const record = this.records.get(target);
 		if (record) {
@@ -94,54 +97,54 @@
 		}
 	}
 
-	/** Forgets the limit of a target that has started again: its new life has said nothing yet. */
+	/** Removes the limit of a target that has restarted: the new incarnation has not announced any yet. */
 	forget(target: string): void {
 		this.records.delete(target);
 	}
 
-	/** Forgets limits that have ended, and those of targets that are gone. */
+	/** Evicts limits that have ended, and those of targets that are no longer registered. */
 	tick(now: number, isKnown: (target: string) => boolean): void {
 		for (const [id, record] of this.records) {
-			record.goneAt = isKnown(id) ? undefined : record.goneAt ?? now;
-			const hasEnded = record.perSecond === undefined && now - record.saidAt > endedRetentionMs;
-			const isGone = record.goneAt !== undefined && now - record.goneAt > unregisteredRetentionMs;
+			record.unregisteredAt = isKnown(id) ? undefined : record.unregisteredAt ?? now;
+			const hasEnded = record.perSecond === undefined && now - record.statedAt > endedRetentionMs;
+			const isGone = record.unregisteredAt !== undefined && now - record.unregisteredAt > unregisteredRetentionMs;
 			if (hasEnded || isGone) {
 				this.records.delete(id);
 			}
 		}
 	}
 
-	private update(life: Incarnation, {perSecond, saidAt, isOwn}: LimitUpdate, now: number): void {
-		const known = this.records.get(life.id);
+	private update(incarnation: Incarnation, {perSecond, statedAt, isOwn}: LimitUpdate, now: number): void {
+		const known = this.records.get(incarnation.id);
 		const record = known?.perSecond === undefined || perSecond === undefined
 			? {
-				life, perSecond, saidAt, isOwn, since: now, sends: 0, loggedAt: now, goneAt: known?.goneAt,
+				incarnation, perSecond, statedAt, isOwn, since: now, sends: 0, loggedAt: now, unregisteredAt: known?.unregisteredAt,
 			}
 			: {
-				...known, perSecond, saidAt, isOwn,
+				...known, perSecond, statedAt, isOwn,
 			};
 		this.logChange(known, record, now);
-		this.records.set(life.id, record);
+		this.records.set(incarnation.id, record);
 	}
 
 	private logChange(known: LimitRecord | undefined, record: LimitRecord, now: number): void {
-		const {life: {id}, perSecond, isOwn} = record;
+		const {incarnation: {id}, perSecond, isOwn} = record;
 		const source = isOwn ? 'its answer' : 'a peer';
 		if (known?.perSecond === undefined) {
 			if (perSecond !== undefined) {
-				this.log(`target ${id} takes ${perSecond} requests a second from all entries, as ${source} says`);
+				this.log(`target ${id} accepts ${perSecond} requests per second from all entries, according to ${source}`);
 			}
 
 			return;
 		}
 
 		const {sends, since} = known;
-		const part = `${sends} requests were sent from here in ${Math.round(now - since)} ms`;
+		const summary = `${sends} requests were sent by this entry in ${Math.round(now - since)} ms`;
 		if (perSecond === undefined) {
-			this.log(`target ${id} names no limit any more, as ${source} says; ${part}`);
+			this.log(`target ${id} no longer announces a limit, according to ${source}; ${summary}`);
 		} else if (perSecond !== known.perSecond && now - known.loggedAt >= changeLogIntervalMs) {
 			record.loggedAt = now;
-			this.log(`target ${id} takes ${perSecond} requests a second now, ${known.perSecond} before, as ${source} says; ${part}`);
+			this.log(`target ${id} accepts ${perSecond} requests per second now, ${known.perSecond} before, according to ${source}; ${summary}`);
 		}
 	}
 }
--- a/src/balance/target-refusals.ts
+++ b/src/balance/target-refusals.ts
@@ -1,48 +1,52 @@
 import {type BreakerState} from './breaker-state.js';
 
 type RefusalRecord = {
-	/** Refusals since the target last served a request, when the last came, and until when it is left alone for them. */
+	/** Consecutive refusals, time of the last one, and end of the backoff that they caused. Times in milliseconds. */
 	refusals: number;
 	refusedAt: number;
 	backoffUntil: number;
 	servedAt: number | undefined;
-	/** When it first served a request after refusals. */
+	/** Time of the first request served after refusals. */
 	recoveredAt: number | undefined;
 };
 
-/** What a peer says of targets that refuse it, and of those that lately serve it again. */
+/** A peer's report: targets that refuse its requests, and those that have recently recovered. Sent in the message `entry-load`. */
 type PeerDigest = {readonly refusing: readonly string[]; readonly recovered: readonly string[]};
-/** What a peer said last of targets that refuse it, and since when it has said so of each. */
+/** A peer's latest report of refusing targets, and since when it has reported each of them, milliseconds. */
 type PeerReport = {readonly at: number; readonly since: ReadonlyMap<string, number>};
 
-/** How long a target that refuses is left alone at first and at most, milliseconds; twice as long with each refusal more. */
+/** Backoff after a refusal, milliseconds: first and maximum. It doubles with each consecutive refusal. */
 const initialBackoffMs = 300;
 const maximumBackoffMs = 2000;
-/** What a peer said counts for so long, milliseconds: three of its longest times between two reports. */
+/** Lifetime of a peer's report, milliseconds: three times the maximum interval between reports. */
 const peerReportLifetimeMs = 1500;
-/** A peer's digest that says that a target serves again is surely newer than a refusal of so long ago, milliseconds: a report's longest way. */
+/**
+ * Maximum delay of a peer's report, milliseconds. A report that a target has recovered clears refusals that are older than this,
+ * because it is then certainly newer than they are.
+ */
 const maximumReportDelayMs = 500;
-/** One refusal is common under load, and its request's own line tells it; this many in a row are told of their target. */
+/** Consecutive refusals after which a line is logged. A single refusal is common under load, and appears in the line on its request. */
 const refusalsToLog = 2;
 
 /**
- * Which targets refuse what they are sent, as this entry and its peers have found.
+ * Circuit breakers for targets that refuse requests, from what this entry and its peers have seen.
  *
- * A refusal ends at once and leaves nothing in flight, so that its giver would look the emptiest and get the next request as well.
- * So others go first for a while, and until it has served a request it is doubtful.
+ * A refusal returns at once and leaves nothing in flight, so without a breaker the refusing target would appear the least loaded
+ * and get the next request as well. A target that refuses is avoided during its backoff, and then doubtful until it has served a
+ * request.
  */
 export class TargetRefusals {
 	private readonly records = new Map<string, RefusalRecord>();
 	/** By peer. */
 	private readonly peerReports = new Map<string, PeerReport>();
 
-	/** @param log - told of targets that refuse again and again, and of their return */
+	/** @param log - receives a line when a target refuses repeatedly, and when it recovers */
 	constructor(private readonly log: (message: string) => void) {}
 
 	/**
-	 * Notes that a target has begun to answer a request, not with a refusal or failure.
+	 * Notes that a target has begun to answer a request successfully.
 	 *
-	 * @param sentAt - when the request was sent: one from before a refusal says nothing of what came after
+	 * @param sentAt - time at which the request was sent, milliseconds; a request sent before a refusal does not reset the breaker
 	 */
 	noteServing(target: string, sentAt: number, now: number): void {
 		const record = this.read(target);
@@ -52,7 +56,7 @@
 		}
 
 		if (record.refusals >= refusalsToLog) {
-			this.log(`target ${target} serves again, ${Math.round(now - record.refusedAt)} ms after the last of ${record.refusals} refusals`);
+			this.log(`target ${target} serves requests again, ${Math.round(now - record.refusedAt)} ms after the last of ${record.refusals} refusals`);
 		}
 
 		record.recoveredAt = now;
@@ -67,11 +71,11 @@
 		record.recoveredAt = undefined;
 		record.backoffUntil = now + Math.min(maximumBackoffMs, initialBackoffMs * (2 ** (record.refusals - 1)));
 		if (record.refusals === refusalsToLog) {
-			this.log(`target ${target} refuses what it is sent: others go first, and it gets a request now and then to see`);
+			this.log(`target ${target} refuses requests: other targets are preferred, and it only gets probes`);
 		}
 	}
 
-	/** What peers are told: only what this entry has found itself. */
+	/** Gets the report for peers: only what this entry has seen itself. */
 	getDigest(now: number): PeerDigest {
 		const refusing: string[] = [];
 		const recovered: string[] = [];
@@ -87,8 +91,9 @@
 	}
 
 	/**
-	 * Takes over a peer's digest. Targets that refuse it are doubtful here too, until they have served this entry or the peer; of those that
-	 * serve it again, this entry's own refusals count no more. So it takes one entry to find out either.
+	 * Merges a peer's report, so that one entry's requests are enough to detect a refusal or a recovery. Targets that refuse the
+	 * peer are doubtful here too, until they have served this entry or the peer. For targets that have recovered, this entry's own
+	 * refusals are cleared.
 	 */
 	merge(peer: string, {refusing, recovered}: PeerDigest, now: number): void {
 		const known = this.peerReports.get(peer)?.since;
@@ -106,7 +111,7 @@
 		}
 	}
 
-	/** How a target stands now. */
+	/** Gets the state of a target's breaker. */
 	getBreakerState(target: string, now: number): BreakerState {
 		const record = this.records.get(target);
 		const refuses = record !== undefined && record.refusals > 0;
@@ -118,17 +123,17 @@
 		return refuses || refusesPeer ? 'doubtful' : 'sound';
 	}
 
-	/** When a target last began to answer, milliseconds; undefined when it never has. */
+	/** Time at which a target last began to answer a request successfully, milliseconds; undefined if it never has. */
 	getServedAt(target: string): number | undefined {
 		return this.records.get(target)?.servedAt;
 	}
 
-	/** Forgets what was seen of a target that has started again. */
+	/** Removes all data of a target that has restarted. */
 	forget(target: string): void {
 		this.records.delete(target);
 	}
 
-	/** Forgets targets that are gone. */
+	/** Removes targets that are no longer registered. */
 	prune(isKnown: (target: string) => boolean): void {
 		for (const target of this.records.keys()) {
 			if (!isKnown(target)) {
@@ -137,7 +142,7 @@
 		}
 	}
 
-	/** Forgets peers that were not heard for long. */
+	/** Evicts expired peer reports. */
 	tick(now: number): void {
 		for (const [peer, {at}] of this.peerReports) {
 			if (now - at > peerReportLifetimeMs) {
@@ -146,7 +151,7 @@
 		}
 	}
 
-	/* Since when a peer has been refused by a target; the latest of several. */
+	/* Time since which a target has refused a peer; the latest if several peers report it. */
 	private getPeerRefusedSince(target: string): number {
 		let latest = Number.NEGATIVE_INFINITY;
 		for (const {since} of this.peerReports.values()) {
--- a/src/limits/lender.ts
+++ b/src/limits/lender.ts
@@ -5,21 +5,24 @@
 type Limit = {readonly kind: LimitKind; readonly value: number};
 type Permit = {readonly amount: number; readonly expiresAt: number};
 
-/** A bucket holds this many seconds of its rate at most. */
+/** Capacity of a bucket in seconds of its rate. */
 const burstSeconds = 1;
-/** A permit to run requests lapses unless it is asked for again within this time, milliseconds. */
+/** Time after which concurrency permits expire unless they are renewed, milliseconds. */
 const permitLifetimeMs = 5000;
+/** Buckets and expired permits that are unused for this time are dropped, milliseconds. */
 const idleMs = 60_000;
 
 /**
- * The home of some organisations' limits: lends units of a rate, and permits to run requests at once, to the
- * entries that ask. It keeps nothing that must outlive it. A new home may lend again what its predecessor lent within
- * the last second (rates) or the last term of permits (concurrency); no more.
+ * Lends units of rate limits and concurrency permits to the entries that request them. Each limit has one lending entry.
+ *
+ * The state need not survive a restart. A new lender may lend again what its predecessor lent within the last second (rates) or
+ * within the lifetime of permits (concurrency), but no more.
  */
 export class Lender {
 	private readonly buckets = new Map<string, {bucket: TokenBucket; usedAt: number}>();
 	private readonly permits = new Map<string, Map<string, Permit>>();
 
+	/** Number of limits with a bucket or permits. */
 	get size(): number {
 		return this.buckets.size + this.permits.size;
 	}
@@ -28,10 +31,10 @@
 	 * Lends to an entry.
 	 *
 	 * @param name - name of the limit
-	 * @param limit - its kind and value, scaled to the zones that are visible
+	 * @param limit - its kind, and its value scaled to the share of the zones that are reachable
 	 * @param borrower - id of the entry
-	 * @param amount - units wanted; for concurrency, all permits wanted including those held
-	 * @param now - the present, milliseconds
+	 * @param amount - units wanted; for concurrency, the total number of permits wanted, including those held
+	 * @param now - the present time, milliseconds
 	 */
 	lend(name: string, limit: Limit, borrower: string, amount: number, now: number): Loan {
 		return limit.kind === 'concurrency'
@@ -39,7 +42,7 @@
 			: this.lendUnits(name, limit.value, amount, now);
 	}
 
-	/** Forgets limits that nobody asked for lately. */
+	/** Drops limits that were not requested recently. */
 	tick(now: number): void {
 		for (const [name, {usedAt}] of this.buckets) {
 			if (now - usedAt > idleMs) {
--- a/src/limits/limit-controller.ts
+++ b/src/limits/limit-controller.ts
@@ -10,28 +10,30 @@
 	readonly id: string;
 	readonly lender: Lender;
 	readonly clock: () => number;
-	/** The entry that lends for a limit. */
+	/** Id of the entry that lends units of a limit. */
 	readonly findLender: (name: string) => string;
-	/** Sends a wish to another entry; false when it cannot be reached now. */
-	readonly sendBorrow: (home: string, message: MessageOf<'borrow'>) => boolean;
-	/** Share of all zones that can be reached. */
+	/** Sends a request to another entry; false when it cannot be reached now. */
+	readonly sendBorrow: (lender: string, message: MessageOf<'borrow'>) => boolean;
+	/** Share of all availability zones that are reachable, 0 to 1. */
 	readonly getReachableShare: () => number;
-	/** Entries that can be reached, this one included. */
+	/** Number of reachable entries, including this one. */
 	readonly countEntries: () => number;
 };
 
+/** Borrowed units that have not been used yet, and when they were borrowed (milliseconds). */
 type Credit = {amount: number; borrowedAt: number};
 type Permits = {granted: number; running: number; demand: LimitDemand; requestedAt: number};
 
-/** Units borrowed at once, as seconds of the rate. */
+/** Minimum number of units to borrow, in seconds of the rate. */
 const borrowSeconds = 0.05;
-/** Borrowed units that were not used within this time are void, milliseconds. */
+/** Time after which unused borrowed units expire, milliseconds. */
 const creditLifetimeMs = 2000;
-/** Longest wait for a lender, milliseconds. */
+/** Timeout for the lender's answer, milliseconds. */
 const lenderTimeoutMs = 100;
+/** Interval between renewals of permits in use, milliseconds. */
 const permitRenewalMs = 2000;
 
-/** Holds the requests of this entry to limits that span all entries, with units and permits borrowed from the limit's home. */
+/** Enforces limits that apply to all entries together, with units and permits borrowed from the lender of each limit. */
 export class LimitController {
 	private readonly credits = new Map<string, Credit>();
 	private readonly permits = new Map<string, Permits>();
@@ -42,9 +44,9 @@
 	constructor(private readonly options: ControllerOptions) {}
 
 	/**
-	 * Asks all limits of one request; none is charged unless all let it through.
+	 * Acquires the units and permits for all limits of one request; if one limit refuses, nothing is charged.
 	 *
-	 * @returns a function that gives the permits back when the request has ended
+	 * @returns a function that releases the permits when the request has ended
 	 */
 	async acquire(demands: readonly LimitDemand[]): Promise<Result<() => void, LimitRefusal>> {
 		const charged: LimitDemand[] = [];
@@ -68,33 +70,33 @@
 		});
 	}
 
-	/** Gives back units that a request turned out not to need. */
+	/** Returns units that a request did not use. */
 	returnUnits(name: string, amount: number): void {
-		const wallet = this.credits.get(name);
-		if (wallet) {
-			wallet.amount += amount;
+		const credit = this.credits.get(name);
+		if (credit) {
+			credit.amount += amount;
 		}
 	}
 
-	/** Answers another entry's wish, as the limit's home. */
-	lend(wish: MessageOf<'borrow'>, borrower: string, demand: Pick<LimitDemand, 'kind' | 'value'>, now: number): MessageOf<'lend'> {
-		const loan = this.lendScaled(wish.bucket, demand, borrower, wish.amount, now);
+	/** Answers a request of another entry, as the lender of the limit. */
+	lend(request: MessageOf<'borrow'>, borrower: string, demand: Pick<LimitDemand, 'kind' | 'value'>, now: number): MessageOf<'lend'> {
+		const loan = this.lendScaled(request.bucket, demand, borrower, request.amount, now);
 		return {
-			type: 'lend', loan: wish.loan, bucket: wish.bucket, ...loan,
+			type: 'lend', loan: request.loan, bucket: request.bucket, ...loan,
 		};
 	}
 
-	/** Takes a lender's answer. */
+	/** Handles a lender's answer. */
 	receiveLoan(message: MessageOf<'lend'>): void {
 		this.pendingLoans.get(message.loan)?.(message);
 		this.pendingLoans.delete(message.loan);
 	}
 
-	/** Renews permits in use, and forgets what is idle. */
+	/** Renews permits in use, and drops unused credits and permits. */
 	tick(now: number): void {
 		this.options.lender.tick(now);
-		for (const [name, wallet] of this.credits) {
-			if (now - wallet.borrowedAt > creditLifetimeMs) {
+		for (const [name, credit] of this.credits) {
+			if (now - credit.borrowedAt > creditLifetimeMs) {
 				this.credits.delete(name);
 			}
 		}
@@ -112,23 +114,23 @@
 	private async takeUnits(demand: LimitDemand): Promise<number | undefined> {
 		const {name, value, amount} = demand;
 		const now = this.options.clock();
-		const wallet = this.credits.get(name) ?? {amount: 0, borrowedAt: now};
-		if (now - wallet.borrowedAt > creditLifetimeMs) {
-			wallet.amount = 0;
+		const credit = this.credits.get(name) ?? {amount: 0, borrowedAt: now};
+		if (now - credit.borrowedAt > creditLifetimeMs) {
+			credit.amount = 0;
 		}
 
-		this.credits.set(name, wallet);
-		if (wallet.amount < amount) {
-			const wanted = Math.max(amount - wallet.amount, value * borrowSeconds);
+		this.credits.set(name, credit);
+		if (credit.amount < amount) {
+			const wanted = Math.max(amount - credit.amount, value * borrowSeconds);
 			const loan = await this.borrow(demand, wanted);
-			wallet.amount += loan.amount;
-			wallet.borrowedAt = this.options.clock();
-			if (wallet.amount < amount) {
+			credit.amount += loan.amount;
+			credit.borrowedAt = this.options.clock();
+			if (credit.amount < amount) {
 				return Math.max(loan.retryAfterMs, 1);
 			}
 		}
 
-		wallet.amount -= amount;
+		credit.amount -= amount;
 		return undefined;
 	}
 
@@ -173,16 +175,16 @@
 	}
 
 	private async borrow(demand: LimitDemand, amount: number): Promise<Loan> {
-		const home = this.options.findLender(demand.name);
-		if (home === this.options.id) {
-			return this.lendScaled(demand.name, demand, home, amount, this.options.clock());
+		const lender = this.options.findLender(demand.name);
+		if (lender === this.options.id) {
+			return this.lendScaled(demand.name, demand, lender, amount, this.options.clock());
 		}
 
 		const loan = this.nextLoan++;
-		const isAsked = this.options.sendBorrow(home, {
+		const isSent = this.options.sendBorrow(lender, {
 			type: 'borrow', loan, bucket: demand.name, amount,
 		});
-		const answer = isAsked ? await this.waitForLoan(loan) : undefined;
+		const answer = isSent ? await this.waitForLoan(loan) : undefined;
 		return answer ?? this.lendLocally(demand, amount);
 	}
 
@@ -199,7 +201,7 @@
 		});
 	}
 
-	/* Without the home, an entry keeps to its own part of what the visible zones may have. */
+	/* Without the lender's answer, an entry uses an equal part of the limit, scaled to the reachable zones. */
 	private lendLocally(demand: LimitDemand, amount: number): Loan {
 		const now = this.options.clock();
 		const part = demand.value * this.options.getReachableShare() / this.options.countEntries();
--- a/src/limits/limit-demand.ts
+++ b/src/limits/limit-demand.ts
@@ -1,11 +1,12 @@
 import {type LimitKind} from './limit-kind.js';
 
-/** What one request asks of one limit. */
+/** What one request needs from one limit. */
 export type LimitDemand = {
-	/** Name of the limit: its kind, and the service and organisation that it is for. */
+	/** Name of the limit, KIND/SERVICE/ORGANISATION. */
 	readonly name: string;
 	readonly kind: LimitKind;
-	/** The limit of the whole system, per second or at once. */
+	/** The limit for all entries together: per second, or concurrent. */
 	readonly value: number;
+	/** Units needed. */
 	readonly amount: number;
 };
--- a/src/limits/limit-kind.ts
+++ b/src/limits/limit-kind.ts
@@ -1,6 +1,6 @@
 import {z} from 'zod';
 
-/** What a limit counts. */
+/** The quantity that a limit applies to. */
 const LimitKind = z.enum(['concurrency', 'requestsPerSecond', 'tokensPerSecond']);
 type LimitKind = z.infer<typeof LimitKind>;
 
--- a/src/limits/limit-refusal.ts
+++ b/src/limits/limit-refusal.ts
@@ -1,6 +1,6 @@
 import {type LimitKind} from './limit-kind.js';
 
-/** A request that a limit does not let through, and when to come back (milliseconds from now). */
+/** A request was refused by a limit; `retryAfterMs` is the time until a retry may succeed. */
 export class LimitRefusal extends Error {
 	override readonly name = 'LimitRefusal';
 
--- a/src/limits/token-bucket.ts
+++ b/src/limits/token-bucket.ts
@@ -1,19 +1,19 @@
-/** A rate with a burst; amounts may be fractions. */
+/** A token bucket; amounts may be fractions. */
 export class TokenBucket {
 	private level: number;
 	private updatedAt: number;
 
 	/**
 	 * @param rate - units per second
-	 * @param burst - most units that may be there at once
-	 * @param now - the present, milliseconds; the bucket starts full
+	 * @param burst - capacity, units
+	 * @param now - the present time, milliseconds; the bucket starts full
 	 */
 	constructor(public rate: number, public burst: number, now: number) {
 		this.level = burst;
 		this.updatedAt = now;
 	}
 
-	/** Takes up to `amount` units and gives how many there were. */
+	/** Takes up to `amount` units and returns how many were available. */
 	take(amount: number, now: number): number {
 		this.refill(now);
 		const taken = Math.max(0, Math.min(amount, this.level));
@@ -21,12 +21,12 @@
 		return taken;
 	}
 
-	/** Gives units back. */
+	/** Returns unused units. */
 	restore(amount: number): void {
 		this.level = Math.min(this.burst, this.level + amount);
 	}
 
-	/** Milliseconds until `amount` units are there. */
+	/** Time until `amount` units are available, milliseconds. */
 	getWaitMs(amount: number, now: number): number {
 		this.refill(now);
 		return Math.max(0, ((amount - this.level) / this.rate) * 1000);
--- a/src/mesh/entry-digest.ts
+++ b/src/mesh/entry-digest.ts
@@ -3,15 +3,15 @@
 import {LimitDigest} from '../balance/limit-digest.js';
 import {Target} from '../fleet/target.js';
 
-/** What entries tell each other beside what they have in flight. */
+/** Part of the message `entry-load`: what entries report to each other beside their requests in flight. */
 const EntryDigest = z.object({
-	/** Targets that have refused what the sender sent them last; absent where none has. */
+	/** Ids of targets that refused the sender's last request; absent when there are none. */
 	refusing: z.array(z.string()).optional(),
-	/** Those that serve it again since lately; absent where none does. */
+	/** Ids of targets that have recently recovered from refusals; absent when there are none. */
 	recovered: z.array(z.string()).optional(),
-	/** Lives of targets that have said that they leave; absent where none has. */
+	/** Target incarnations that have announced that they are leaving; absent when there are none. */
 	leaves: z.array(Target.pick({id: true, bornAt: true})).optional(),
-	/** Limits that targets have named to the sender; absent where none has. */
+	/** Rate limits that targets have announced to the sender; absent when there are none. */
 	limits: z.array(LimitDigest).optional(),
 	...CrashDigest.shape,
 });
--- a/src/mesh/entry-mesh.ts
+++ b/src/mesh/entry-mesh.ts
@@ -10,60 +10,60 @@
 
 type MeshOptions = {
 	readonly id: string;
-	/** Address and port of this entry's links; peers are named by theirs. */
+	/** Address and port of this entry's links; peers are identified by theirs. */
 	readonly address: string;
 	readonly availabilityZone: string;
 	readonly connect: (address: string) => Promise<LinkConnection>;
 	readonly hello: () => LinkMessage;
 	readonly view: StoreView;
-	/** Version of the configuration in force at this entry; 0 while none is. */
+	/** Version of the configuration in use at this entry; 0 when there is none. */
 	readonly getConfigurationVersion: () => number;
 	readonly board: InFlightCounts;
-	/** What peers are told of targets and requests; all of it where the peer may have heard nothing yet. */
-	readonly getDigest: (isWhole: boolean, now: number) => EntryDigest;
-	/** Told of what a peer tells, at each of its reports, and whether it is in the same zone. */
-	readonly onDigest: (peer: string, digest: EntryDigest, isNear: boolean, now: number) => void;
-	/** Told of messages that are not about the peers themselves; `send` answers on the same link. */
+	/** Gets what is reported to peers on targets and requests; `isFull` for a peer that may not have received any report yet. */
+	readonly getDigest: (isFull: boolean, now: number) => EntryDigest;
+	/** Called with the digest in each report of a peer; `isSameZone`: the peer is in this entry's availability zone. */
+	readonly onDigest: (peer: string, digest: EntryDigest, isSameZone: boolean, now: number) => void;
+	/** Called with messages that do not concern the mesh itself; `send` answers on the same link. */
 	readonly onMessage: (message: LinkMessage, send: (message: LinkMessage) => boolean) => void;
 	readonly clock: () => number;
 	readonly random: () => number;
 	readonly log: (message: string) => void;
 };
 
-/** A peer, in a zone that is not known before it was heard. */
+/** A peer; its availability zone is unknown until its first report. Times in milliseconds. */
 type Peer = {readonly link: PersistentLink; lastSeenAt: number; availabilityZone: string | undefined};
 
 /**
- * Least time between two reports of what is in flight, milliseconds: for each peer, so that a burst costs the same
- * whatever their number, and at most: what is in flight at a target changes many times a second.
+ * Minimum interval between two reports of requests in flight, milliseconds: for each peer, so that a burst costs the same regardless
+ * of their number, and its upper bound, since the counts change many times per second.
  */
 const reportMsPerPeer = 10;
 const maximumReportMs = 200;
 /**
- * Least time between two reports to peers in other zones, milliseconds. What is in flight there is used where the own zone
- * is full, and lasts for a second or two; with 32 entries in three zones two thirds of all reports go to other zones.
+ * Minimum interval between two reports to peers in other zones, milliseconds. Counts of other zones only matter when the own zone
+ * is full, which lasts for a second or two; with 32 entries in three zones, two thirds of all reports go to other zones.
  */
 const remoteZoneReportMs = 700;
-/** Longest time between two reports, milliseconds: peers tell a quiet entry from a lost one by it. */
+/** Maximum interval between two reports, milliseconds; it serves as a heartbeat. */
 const heartbeatMs = 500;
 /**
- * Time between two reports that name the peers known, milliseconds. Each new link begins with one, so that an entry that
- * starts while the store is down hears of all at once; with 32 entries they are larger than all else that is reported.
+ * Interval between two reports that list the known peers, milliseconds. The first report on each link lists them too, so that an
+ * entry that starts while the store is down learns of all peers at once. With 32 entries the list is larger than the rest of a report.
  */
 const peerListMs = 10_000;
-/** A link on which a peer was not heard for so long is cut and opened anew, milliseconds. */
+/** A link on which nothing was received for this time is cut and reopened, milliseconds. */
 const linkTimeoutMs = 1500;
 const maximumBackoffMs = 800;
-/** Time between two questions for a peer's view, milliseconds. */
+/** Minimum interval between two requests for a peer's view, milliseconds. */
 const viewRequestMs = 300;
-/** The same for a configuration that was asked for before. */
+/** Minimum interval between two requests for the same version of a configuration, milliseconds. */
 const configurationRetryMs = 5000;
-/** Before all that a view may be of. */
+/** Precedes every revision that a view may have. */
 const zeroRevision: Revision = {era: 0, number: 0};
 
 /**
- * The entries' links to each other. Each tells the others what it has in flight, so that all choose targets by the
- * same counts, and how current its view of the store is, so that one cut off from the store can take a peer's.
+ * Links between entries. Each entry reports its requests in flight to the others, so that all choose targets by the same counts,
+ * and the revision and age of its view of the store, so that an entry that has lost the store can take a peer's view.
  */
 export class EntryMesh {
 	private readonly peers = new Map<string, Peer>();
@@ -74,12 +74,12 @@
 	private timer: NodeJS.Timeout | undefined;
 	private viewRequestedAt = Number.NEGATIVE_INFINITY;
 	private hasPeerSnapshot = false;
-	/** Version of a peer's configuration that was asked for last, and when, milliseconds. */
+	/** Version of a peer's configuration that was requested last, and when, milliseconds. */
 	private lastConfigurationRequest = {configurationVersion: 0, at: Number.NEGATIVE_INFINITY};
 
 	constructor(private readonly options: MeshOptions) {}
 
-	/** Opens links to entries that are not known yet. */
+	/** Opens links to the entries at these addresses that are not known yet. */
 	addPeers(addresses: readonly string[]): void {
 		for (const address of addresses) {
 			if (address !== this.options.address && !this.peers.has(address)) {
@@ -88,7 +88,7 @@
 		}
 	}
 
-	/** Reports what changed, and cuts links that have gone silent. */
+	/** Sends a report if something has changed or a heartbeat is due, and cuts links that have timed out. */
 	tick(): void {
 		const now = this.options.clock();
 		this.report(now);
@@ -100,13 +100,13 @@
 		}
 	}
 
-	/** Reports to all peers, in whatever zone, what cannot wait. */
+	/** Sends a report to all peers at once, in every zone, for changes that cannot wait. */
 	reportNow(): void {
 		this.remoteZoneReportedAt = Number.NEGATIVE_INFINITY;
 		this.report(this.options.clock());
 	}
 
-	/** Reports soon what has just changed. */
+	/** Schedules a report of a change, within the minimum interval. */
 	reportSoon(): void {
 		const now = this.options.clock();
 		this.timer ??= setTimeout(() => {
@@ -115,12 +115,12 @@
 		}, Math.max(0, this.reportedAt + Math.min(maximumReportMs, reportMsPerPeer * this.peers.size) - now));
 	}
 
-	/** Addresses of peers that are heard now. */
+	/** Addresses of the peers whose link is open and has not timed out. */
 	listLivePeers(now: number): string[] {
 		return [...this.peers].filter(([, {link, lastSeenAt: heardAt}]) => link.current !== undefined && now - heardAt <= linkTimeoutMs).map(([address]) => address);
 	}
 
-	/** Whether a peer has passed on its view since the start. */
+	/** Whether a peer has sent its view since the start. */
 	get hasReceivedView(): boolean {
 		return this.hasPeerSnapshot;
 	}
@@ -130,7 +130,7 @@
 		return this.peers.get(address)?.link.current?.send(message) ?? false;
 	}
 
-	/** Handles a message of a peer; `send` answers on the same link. */
+	/** Handles a peer's message; `send` answers on the same link. */
 	receive(message: LinkMessage, send: (message: LinkMessage) => boolean): void {
 		switch (message.type) {
 			case 'entry-load': {
@@ -151,7 +151,7 @@
 				this.hasPeerSnapshot = true;
 				if (this.options.view.takeSnapshot(message.view)) {
 					const {era, number} = message.view.asOf;
-					this.options.log(`took a peer's view of era ${era} revision ${number}`);
+					this.options.log(`using a peer's view of era ${era} revision ${number}`);
 				}
 
 				break;
@@ -216,22 +216,22 @@
 		}
 	}
 
-	/* The revision after which a peer's view is wanted; undefined when it is not. */
+	/* The revision after which a peer's view is requested; undefined when it is not needed. */
 	private findWantedRevision({viewRevision, viewAgeMs, configurationVersion}: MessageOf<'entry-load'>, now: number): Revision | undefined {
 		const {view, getConfigurationVersion} = this.options;
-		// With the store in reach, the own wait brings a change sooner than a peer, as a rule.
+		// While the store is reachable, changes usually arrive sooner from it than from a peer.
 		if (isLater(viewRevision, view.asOf)) {
 			const isStale = view.isCutOff || !view.isKnown || view.getAge(now) > viewAgeMs + heartbeatMs;
 			return isStale ? view.asOf : undefined;
 		}
 
-		// A store that has come back from a copy may have less than a peer knows, which an entry that has just started cannot tell.
-		const isFirst = viewRevision.number > 0 && !this.hasPeerSnapshot;
-		const hasLess = configurationVersion > getConfigurationVersion() && this.mayRequestConfiguration(configurationVersion, now);
-		return isFirst || hasLess ? zeroRevision : undefined;
+		// A store that was restored from a backup may have less than a peer knows, which an entry that has just started cannot detect.
+		const isFirstSnapshot = viewRevision.number > 0 && !this.hasPeerSnapshot;
+		const isOutdated = configurationVersion > getConfigurationVersion() && this.mayRequestConfiguration(configurationVersion, now);
+		return isFirstSnapshot || isOutdated ? zeroRevision : undefined;
 	}
 
-	/* A configuration that this entry cannot use is not asked for at each report of a peer that can. */
+	/* Limits repeated requests for a configuration that this entry cannot use, though a peer can. */
 	private mayRequestConfiguration(configurationVersion: number, now: number): boolean {
 		if (configurationVersion <= this.lastConfigurationRequest.configurationVersion && now - this.lastConfigurationRequest.at < configurationRetryMs) {
 			return false;
@@ -242,30 +242,30 @@
 	}
 
 	private report(now: number): void {
-		const namesPeers = now - this.peerListSentAt >= peerListMs;
+		const includesPeers = now - this.peerListSentAt >= peerListMs;
 		const {board, view, getConfigurationVersion, getDigest} = this.options;
-		const news = getDigest(false, now);
-		// How old a digest's limit is grows with time, and is no change.
-		const summary = JSON.stringify([board.getOwnCounts(), view.asOf, getConfigurationVersion(), {...news, limits: news.limits?.map(({agoMs, ...limit}) => limit)}]);
+		const digest = getDigest(false, now);
+		// The age of a limit grows with time; it does not count as a change.
+		const summary = JSON.stringify([board.getOwnCounts(), view.asOf, getConfigurationVersion(), {...digest, limits: digest.limits?.map(({agoMs, ...limit}) => limit)}]);
 		if (summary === this.lastSummary && now - this.reportedAt < heartbeatMs) {
 			return;
 		}
 
 		this.lastSummary = summary;
 		this.reportedAt = now;
-		this.peerListSentAt = namesPeers ? now : this.peerListSentAt;
-		const report = this.makeReport(namesPeers);
-		const isFarDue = now - this.remoteZoneReportedAt >= remoteZoneReportMs;
-		this.remoteZoneReportedAt = isFarDue ? now : this.remoteZoneReportedAt;
+		this.peerListSentAt = includesPeers ? now : this.peerListSentAt;
+		const report = this.makeReport(includesPeers);
+		const isRemoteZoneDue = now - this.remoteZoneReportedAt >= remoteZoneReportMs;
+		this.remoteZoneReportedAt = isRemoteZoneDue ? now : this.remoteZoneReportedAt;
 		for (const {link, availabilityZone} of this.peers.values()) {
-			const isNear = availabilityZone === undefined || availabilityZone === this.options.availabilityZone;
-			if (isNear || isFarDue) {
+			const isSameZone = availabilityZone === undefined || availabilityZone === this.options.availabilityZone;
+			if (isSameZone || isRemoteZoneDue) {
 				link.current?.send(report);
 			}
 		}
 	}
 
-	private makeReport(namesPeers: boolean): MessageOf<'entry-load'> {
+	private makeReport(includesPeers: boolean): MessageOf<'entry-load'> {
 		const {id, address, availabilityZone, board, view, getConfigurationVersion, clock, getDigest} = this.options;
 		const now = clock();
 		return {
@@ -277,8 +277,8 @@
 			configurationVersion: getConfigurationVersion(),
 			viewAgeMs: Math.min(Number.MAX_SAFE_INTEGER, Math.max(0, Math.round(view.getAge(now)))),
 			inFlight: board.getOwnCounts(),
-			...getDigest(namesPeers, now),
-			...(namesPeers && {peers: [...this.peers.keys()]}),
+			...getDigest(includesPeers, now),
+			...(includesPeers && {peers: [...this.peers.keys()]}),
 		};
 	}
 }
--- a/src/mesh/registration.ts
+++ b/src/mesh/registration.ts
@@ -10,31 +10,31 @@
 	readonly log: (message: string) => void;
 };
 
-/** Life of a registration without renewal, milliseconds: the platform's longest, so that renewals cost little. */
+/** Duration of the lease, milliseconds: the platform's maximum, to keep the cost of renewals low. */
 const leaseMs = 600_000;
 const renewalIntervalMs = 200_000;
-/** Time between two tries to register, milliseconds. */
+/** Interval between two attempts to register or renew, milliseconds. */
 const retryIntervalMs = 1000;
-/** Time over which all processes write again what a copy of the store lacks, milliseconds, so that they do not press it at once. */
+/** Time over which processes spread the rewriting of registrations that a restored store lacks, milliseconds, to avoid a burst of writes. */
 const rewriteSpreadMs = 2000;
 
-/** What the store holds under the key, in which era; an item is left out where that is not known. */
+/** The stored value of the key and the era of the store; `item` is absent when the key is missing. */
 type StoredRegistration = {readonly era: number; readonly item?: StoredValue};
 
-/** Keeps this process's address in the store, under a lease so that the key goes when the VM is gone for good. */
+/** Keeps this process's address in the store under a lease, so that the key is removed when the VM is gone. */
 export class Registration {
 	private lease: string | undefined;
 	private nextAt = 0;
 	private isBusy = false;
-	/** Where the store has the registration, as far as known. */
+	/** Revision at which the registration was written, as far as known. */
 	private written: Revision | undefined;
 
 	constructor(private readonly options: RegistrationOptions) {}
 
 	/**
-	 * Registers, or renews, when it is time.
+	 * Registers, or renews the lease, when due.
 	 *
-	 * @param known - how the key stands in the store, by the process's view; undefined while nothing is known
+	 * @param known - state of the key in the process's view of the store; undefined while it is unknown
 	 */
 	async tick(now: number, known?: StoredRegistration): Promise<void> {
 		if (this.isBusy) {
@@ -53,8 +53,8 @@
 	}
 
 	/*
-	 * A store that has come back from a copy may lack the key, or its lease, which may then be another process's. What it still holds as
-	 * it was written is from before the copy, and so is its lease.
+	 * Detects that the store was restored from a backup (a new era). The key may then be missing, or its lease may belong to another
+	 * process, so the registration is written again. If the key is unchanged, it was written before the backup, and the lease is valid.
 	 */
 	private checkEra(now: number, known: StoredRegistration | undefined): void {
 		if (this.written === undefined || known === undefined || known.era <= this.written.era) {
@@ -67,7 +67,7 @@
 		}
 
 		const pauseMs = this.options.random() * rewriteSpreadMs;
-		this.options.log(`${this.options.key} is not in era ${known.era} of the store, it is written again in ${Math.round(pauseMs)} ms`);
+		this.options.log(`${this.options.key} is not in era ${known.era} of the store as written; writing it again in ${Math.round(pauseMs)} ms`);
 		this.written = undefined;
 		this.lease = undefined;
 		this.nextAt = now + pauseMs;
@@ -77,13 +77,13 @@
 		const {registry, key, value, log} = this.options;
 		const lease = await registry.grantLeaseFor(leaseMs);
 		if (lease.isErr()) {
-			log(`not registered: ${lease.error.message}`);
+			log(`registration failed, no lease: ${lease.error.message}`);
 			return false;
 		}
 
 		const written = await registry.commit({conditions: [], puts: [{key, value, lease: lease.value}]});
 		if (written.isErr()) {
-			log(`not registered: ${written.error.message}`);
+			log(`registration failed: ${written.error.message}`);
 			return false;
 		}
 
