--- a/features/limit.feature
+++ b/features/limit.feature
@@ -1,6 +1,6 @@
 Feature: The requests of all entries together reach but do not exceed the rate limit that a target announces
 
-  # A target that had announced a limit of 1 request per second got 12 in 4 s from six entries that knew of it, as many as targets
+  # A target that had announced a limit of 1 requests per second got 12 in 4 s from six entries that knew of it, as many as targets
   # without a limit; 11 are allowed (one and a half times the limit, plus 5). Each entry sent one to six requests, within the limit
   # and its margin, but a limit applies to the sum over all entries, and the header was not read either. In memory, 8 entries together
   # sent 30 in 4 s, none of them more than 7; with one entry granting the permits they send 4.
@@ -140,7 +140,7 @@
     Given an entry before 2 targets
     And target 1 announces a limit of "0.2" in its answers
     When callers send "GET /stream/1" 20 times, to the entries in turn
-    And target 1 starts again under its id
+    And target 1 restarts under its id
     And callers send "GET /stream/1" 60 times, to the entries in turn
     Then target 1 has received at least 15 requests
 
--- a/features/rest.feature
+++ b/features/rest.feature
@@ -3,8 +3,8 @@
   # A target asked an entry for a cooldown of 3 s, and got 11 requests from it during that time. When five of sixteen targets refused
   # all requests for nine seconds, they got three quarters of all requests, and the other eleven got fewer than before: targets were
   # chosen by requests in flight, and a target that refuses within 2 ms has the fewest. Retries and returning callers reached the same
-  # five again. 861 of 1,002 refused requests went to a target with nothing in flight (without any requested cooldowns). Entries did not keep the result of a refusal
-  # beyond its request, and did not read the requested cooldown.
+  # five again. 861 of 1,002 refused requests went to a target with nothing in flight (without any requested cooldowns).
+  # Entries did not keep the result of a refusal beyond its request, and did not read the requested cooldown.
   Scenario Outline: Five of sixteen targets refuse all requests for nine seconds, <asking>, seed <seed>
     Given 8 entries and 16 targets, with callers that use a third of the capacity, seed <seed>
     When 5 targets refuse all requests from second 2 to 11, <asking>
@@ -108,7 +108,7 @@
     Given an entry before 2 targets
     And target 1 refuses all requests with status 503 and Retry-After "3"
     When a caller sends "GET /read/1" until one request has reached target 1
-    And target 1 starts again under its id
+    And target 1 restarts under its id
     Then a caller that repeats "GET /read/1" reaches target 1
 
   Scenario: The cooldown that another target at the address asks for does not apply to the intended target
@@ -128,7 +128,7 @@
     When target 1 is registered again unchanged
     And a caller sends "<request>" 3 times
     Then target 1 has received one request
-    When target 1 starts again under its id
+    When target 1 restarts under its id
     Then a caller that repeats "<request>" reaches target 1
 
     Examples:
--- a/features/steps/fleet-simulation-steps.ts
+++ b/features/steps/fleet-simulation-steps.ts
@@ -27,10 +27,10 @@
 	}));
 });
 
-When('full targets ask for a cooldown of {int} ms, for {int} seconds', async function (this: SystemWorld, restMs: number, seconds: number) {
+When('full targets ask for a cooldown of {int} ms, for {int} seconds', async function (this: SystemWorld, cooldownMs: number, seconds: number) {
 	const fleet = getFleet(this);
 	for (const target of fleet.targets) {
-		target.fullCooldownMs = restMs;
+		target.fullCooldownMs = cooldownMs;
 	}
 
 	await fleet.advance(seconds * 1000);
@@ -42,18 +42,19 @@
 Then('at least {int} in {int} of the requests that the targets have capacity for are served at the first attempt', function (this: SystemWorld, least: number, outOf: number) {
 	const {calls, targets} = getFleet(this);
 	const {from, until} = this.notes.get('span') as {from: number; until: number};
-	const room = targets.length * slots / streamSeconds * (until - from) / 1000;
+	const capacity = targets.length * slots / streamSeconds * (until - from) / 1000;
 	const served = calls.filter(({askedAt, isServed, tries}) => askedAt >= from && askedAt < until && isServed && tries === 1);
-	assert.ok(served.length >= room * least / outOf, `${served.length} of ${Math.round(room)}`);
+	assert.ok(served.length >= capacity * least / outOf, `${served.length} of ${Math.round(capacity)}`);
 });
 
-const runRefusalPeriod = async (world: SystemWorld, count: number, seconds: readonly [number, number], restMs: number | undefined): Promise<void> => {
+/* Lets the first targets refuse all requests for a period, and waits until the last callers have their answers. */
+const runRefusalPeriod = async (world: SystemWorld, count: number, seconds: readonly [number, number], cooldownMs: number | undefined): Promise<void> => {
 	const fleet = getFleet(world);
 	const refusing = fleet.targets.slice(0, count);
 	const [from, until] = seconds.map(second => second * 1000);
 	await fleet.advance(from);
 	for (const target of refusing) {
-		target.refusal = {share: 1, cooldownMs: restMs, delayMs: 0};
+		target.refusal = {share: 1, cooldownMs, delayMs: 0};
 	}
 
 	await fleet.advance(until);
@@ -71,8 +72,8 @@
 	await runRefusalPeriod(this, count, [from, until], undefined);
 });
 
-When('{int} targets refuse all requests from second {int} to {int}, asking for a cooldown of {int} ms', async function (this: SystemWorld, count: number, from: number, until: number, restMs: number) {
-	await runRefusalPeriod(this, count, [from, until], restMs);
+When('{int} targets refuse all requests from second {int} to {int}, asking for a cooldown of {int} ms', async function (this: SystemWorld, count: number, from: number, until: number, ms: number) {
+	await runRefusalPeriod(this, count, [from, until], ms);
 });
 
 const restart = (fleet: FleetSimulation, target: SimulatedTarget): void => {
@@ -117,9 +118,9 @@
 });
 
 Then('no target gets requests from an entry later than half a second after it asked that entry for a cooldown, until the cooldown ends', function (this: SystemWorld) {
-	const {cooldowns: rests, arrivals} = getFleet(this);
-	const violations = rests.filter(({pair, from, until}) => arrivals.some(arrival => arrival.pair === pair && arrival.at > from + inFlightGraceMs && arrival.at < until));
-	assert.deepEqual(violations.slice(0, 3), [], `${violations.length} of ${rests.length} cooldowns are not observed`);
+	const {cooldowns, arrivals} = getFleet(this);
+	const violations = cooldowns.filter(({pair, from, until}) => arrivals.some(arrival => arrival.pair === pair && arrival.at > from + inFlightGraceMs && arrival.at < until));
+	assert.deepEqual(violations.slice(0, 3), [], `${violations.length} of ${cooldowns.length} cooldowns are not observed`);
 });
 
 Then('no target gets requests from an entry later than a second after that entry read that the target is leaving', function (this: SystemWorld) {
--- a/features/steps/limit-steps.ts
+++ b/features/steps/limit-steps.ts
@@ -13,10 +13,12 @@
 /** Limit of a target incarnation from a time on (milliseconds); undefined when it announces none. */
 type AnnouncedLimit = {readonly incarnation: string; readonly at: number; readonly perSecond: number | undefined};
 type Answer = Awaited<ReturnType<ForwardSystem['call']>>;
+/** Targets that announced a limit, the limit, and the period (milliseconds). */
 type Limited = {readonly targets: readonly SimulatedTarget[]; readonly perSecond: number; readonly from: number; readonly until: number};
 
 /** Time after a target first announces its limit until all entries observe it, milliseconds. */
 const settleMs = 3000;
+/** Length of the window in which a limit is checked, milliseconds. */
 const windowMs = 4000;
 /** Allowed requests in a window: this many times the limit, plus this number of requests. */
 const limitFactor = 1.5;
@@ -175,7 +177,7 @@
 	const retryTimes = getFleet(this).refusals.filter(({at}) => at >= from + settleMs && at < until).map(({returnAt}) => returnAt);
 	const mean = retryTimes.length * ms / (Math.max(...retryTimes) - Math.min(...retryTimes));
 	const highest = Math.max(...retryTimes.map(start => retryTimes.filter(at => at >= start && at < start + ms).length));
-	assert.ok(highest <= most * mean, `${highest} within ${ms} ms, ${mean} by the mean`);
+	assert.ok(highest <= most * mean, `${highest} within ${ms} ms, mean ${mean}`);
 });
 
 const formatIncarnation = ({target: {id, bornAt}}: SimulatedTarget): string => `${id} ${bornAt}`;
--- a/features/steps/rest-steps.ts
+++ b/features/steps/rest-steps.ts
@@ -59,7 +59,7 @@
 	await register(this, number, {});
 });
 
-When('target {int} starts again under its id', async function (this: SystemWorld, number: number) {
+When('target {int} restarts under its id', async function (this: SystemWorld, number: number) {
 	const target = getTarget(this, number);
 	target.marks = {};
 	target.refusal = undefined;
--- a/src/balance/choose-replica.ts
+++ b/src/balance/choose-replica.ts
@@ -64,11 +64,11 @@
 	return target ? {kind: 'chosen', target} : {kind: 'full'};
 }
 
-const hasRoom = ({id, slots}: Target, {countInFlight: count, queueLength}: ChoiceOptions): boolean => count(id) < slots + queueLength;
+const hasCapacity = ({id, slots}: Target, {countInFlight, queueLength}: ChoiceOptions): boolean => countInFlight(id) < slots + queueLength;
 
 /* The cause of a refusal may apply to other targets as well; the target that most recently began to answer is the least likely to refuse. */
 function findMostRecentlyServing(targets: readonly Target[], options: ChoiceOptions): Target | undefined {
-	const serving = targets.filter(target => options.getServedAt(target.id) !== undefined && hasRoom(target, options));
+	const serving = targets.filter(target => options.getServedAt(target.id) !== undefined && hasCapacity(target, options));
 	return serving.toSorted((one, other) => options.getServedAt(other.id)! - options.getServedAt(one.id)!).at(0);
 }
 
@@ -77,7 +77,7 @@
 	let best: Target | undefined;
 	let bestScore = Number.POSITIVE_INFINITY;
 	for (const target of targets) {
-		if (!hasRoom(target, options)) {
+		if (!hasCapacity(target, options)) {
 			continue;
 		}
 
@@ -91,10 +91,10 @@
 	return best;
 }
 
-function findFastest(targets: readonly Target[], getLatency: (target: string) => number): number {
+function findFastest(targets: readonly Target[], getLatencyMs: (target: string) => number): number {
 	let fastest = Number.POSITIVE_INFINITY;
 	for (const {id} of targets) {
-		const latencyMs = getLatency(id);
+		const latencyMs = getLatencyMs(id);
 		if (latencyMs > 0) {
 			fastest = Math.min(fastest, latencyMs);
 		}
@@ -108,6 +108,6 @@
 	const zone = target.availabilityZone === options.availabilityZone ? 0 : remoteZonePenalty;
 	const failures = failurePenalty * options.getFailureRate(target.id);
 	const latencyMs = options.getLatencyMs(target.id);
-	const slowness = latencyMs > fastestMs ? latencyPenalty * Math.log2(latencyMs / fastestMs) : 0;
-	return zone + failures + slowness;
+	const latency = latencyMs > fastestMs ? latencyPenalty * Math.log2(latencyMs / fastestMs) : 0;
+	return zone + failures + latency;
 }
--- a/src/balance/crash-suspects.ts
+++ b/src/balance/crash-suspects.ts
@@ -3,6 +3,7 @@
 
 /** One incarnation of a target: a restart under the same id gives a new one. */
 type Incarnation = Pick<Target, 'id' | 'bornAt'>;
+/** A request whose connection closed before its answer was complete; `hasJustBegun` if it had only started to run. */
 type LostRequest = {readonly fingerprint: string; readonly incarnation: Incarnation; readonly hasJustBegun: boolean};
 type LossRecord = LostRequest & {readonly at: number};
 /** Incarnations that crashed while they ran the request, and whether the request had just started there. Times in milliseconds. */
--- a/src/balance/in-flight-counts.ts
+++ b/src/balance/in-flight-counts.ts
@@ -1,4 +1,6 @@
+/** This entry's requests at a target. Times in milliseconds. */
 type OwnLoad = {requests: number; lastProgressAt: number; lastStartAt: number};
+/** A peer's latest report: its requests in flight by target. Time in milliseconds. */
 type PeerLoad = {readonly at: number; readonly inFlight: Readonly<Record<string, number>>};
 
 /** Lifetime of a peer's counts after its last report, milliseconds; streams last a few seconds. */
--- a/src/balance/limit-buckets.ts
+++ b/src/balance/limit-buckets.ts
@@ -11,7 +11,8 @@
 	readonly share: number;
 };
 
-type Bucket = {readonly tokens: TokenBucket; takenAt: number};
+/** The permits of one target, and when one was last requested, milliseconds. */
+type Bucket = {readonly tokens: TokenBucket; usedAt: number};
 
 /**
  * Minimum rate of requests to a limited target, per second. Only the target's answers show that a limit has ended, so even a
@@ -28,8 +29,8 @@
 	private readonly buckets = new Map<string, Bucket>();
 
 	/** Takes a permit for one request; the permit is not granted if the bucket is empty. */
-	take({target, perSecond, share: part}: Limit, now: number): Permit {
-		const rate = Math.max(minimumPerSecond, perSecond) * part;
+	take({target, perSecond, share}: Limit, now: number): Permit {
+		const rate = Math.max(minimumPerSecond, perSecond) * share;
 		const {tokens} = this.get(target, rate, now);
 		const waitMs = tokens.getWaitMs(1, now);
 		if (waitMs > 0) {
@@ -42,8 +43,8 @@
 
 	/** Drops unused buckets, and those of targets whose permits another entry grants. */
 	tick(now: number, isOwned: (target: string) => boolean): void {
-		for (const [target, {takenAt}] of this.buckets) {
-			if (now - takenAt > idleMs || !isOwned(target)) {
+		for (const [target, {usedAt}] of this.buckets) {
+			if (now - usedAt > idleMs || !isOwned(target)) {
 				this.buckets.delete(target);
 			}
 		}
@@ -53,13 +54,13 @@
 	private get(target: string, rate: number, now: number): Bucket {
 		const burst = Math.max(1, burstSeconds * rate);
 		const known = this.buckets.get(target);
-		const bucket = known ?? {tokens: new TokenBucket(rate, burst, now), takenAt: now};
+		const bucket = known ?? {tokens: new TokenBucket(rate, burst, now), usedAt: now};
 		if (!known) {
 			bucket.tokens.take(burst, now);
 			this.buckets.set(target, bucket);
 		}
 
-		bucket.takenAt = now;
+		bucket.usedAt = now;
 		bucket.tokens.rate = rate;
 		bucket.tokens.burst = burst;
 		return bucket;
--- a/src/balance/service-breaker.ts
+++ b/src/balance/service-breaker.ts
@@ -1,4 +1,5 @@
-type Outage = {readonly since: number; nextProbeAt: number; retryAt: number};
+/** An outage of a service or group: its start, the time of the next probe, and the end of the backoff, milliseconds. */
+type Outage = {readonly since: number; nextProbeAt: number; backoffUntil: number};
 
 /** Interval between probes of a service that is down, milliseconds. */
 const probeIntervalMs = 300;
@@ -22,9 +23,9 @@
 	noteDown(service: string, now: number, cause: string): void {
 		const outage = this.outages.get(service);
 		if (outage) {
-			outage.retryAt = now + groupBackoffMs;
+			outage.backoffUntil = now + groupBackoffMs;
 		} else {
-			this.outages.set(service, {since: now, nextProbeAt: now + probeIntervalMs, retryAt: now + groupBackoffMs});
+			this.outages.set(service, {since: now, nextProbeAt: now + probeIntervalMs, backoffUntil: now + groupBackoffMs});
 			this.log(`service ${service} is down: ${cause}`);
 		}
 	}
@@ -42,7 +43,7 @@
 
 	/** Whether requests should go to other groups of the service: this group has stopped and is not known to run again. */
 	isAvoided(group: string, now: number): boolean {
-		return now < (this.outages.get(group)?.retryAt ?? 0);
+		return now < (this.outages.get(group)?.backoffUntil ?? 0);
 	}
 
 	/** Notes that the last probe had no conclusive result, so that the next request may be a probe. */
--- a/src/balance/shared-retry-budget.ts
+++ b/src/balance/shared-retry-budget.ts
@@ -1,3 +1,4 @@
+/** Requests and retries counted in one part of the window, which starts at `start` (milliseconds). */
 type Bucket = {readonly start: number; requests: number; retries: number};
 
 type BudgetOptions = {
--- a/src/balance/target-health.ts
+++ b/src/balance/target-health.ts
@@ -1,3 +1,4 @@
+/** Moving averages as of `at`, and the backoff after consecutive connection failures. Times in milliseconds. */
 type HealthRecord = {failureRate: number; at: number; backoffUntil: number; unreachableCount: number; latencyMs: number};
 
 /** Weight of the newest sample in the moving averages of failure rate and latency. */
--- a/src/limits/lender.ts
+++ b/src/limits/lender.ts
@@ -2,7 +2,9 @@
 import {type Loan} from './loan.js';
 import {TokenBucket} from './token-bucket.js';
 
+/** A limit: its kind, and its value in units per second, or in concurrent requests. */
 type Limit = {readonly kind: LimitKind; readonly value: number};
+/** Concurrency permits of one entry, and when they expire, milliseconds. */
 type Permit = {readonly amount: number; readonly expiresAt: number};
 
 /** Capacity of a bucket in seconds of its rate. */
--- a/src/limits/limit-controller.ts
+++ b/src/limits/limit-controller.ts
@@ -22,6 +22,7 @@
 
 /** Borrowed units that have not been used yet, and when they were borrowed (milliseconds). */
 type Credit = {amount: number; borrowedAt: number};
+/** Concurrency permits held for a limit, those in use, and when they were last requested (milliseconds). */
 type Permits = {granted: number; running: number; demand: LimitDemand; requestedAt: number};
 
 /** Minimum number of units to borrow, in seconds of the rate. */
--- a/src/mesh/entry-mesh.ts
+++ b/src/mesh/entry-mesh.ts
@@ -18,6 +18,7 @@
 	readonly view: StoreView;
 	/** Version of the configuration in use at this entry; 0 when there is none. */
 	readonly getConfigurationVersion: () => number;
+	/** Requests in flight of this entry and its peers. */
 	readonly board: InFlightCounts;
 	/** Gets what is reported to peers on targets and requests; `isFull` for a peer that may not have received any report yet. */
 	readonly getDigest: (isFull: boolean, now: number) => EntryDigest;
@@ -53,6 +54,7 @@
 const peerListMs = 10_000;
 /** A link on which nothing was received for this time is cut and reopened, milliseconds. */
 const linkTimeoutMs = 1500;
+/** Maximum backoff between attempts to open a link, milliseconds. */
 const maximumBackoffMs = 800;
 /** Minimum interval between two requests for a peer's view, milliseconds. */
 const viewRequestMs = 300;
@@ -117,7 +119,7 @@
 
 	/** Addresses of the peers whose link is open and has not timed out. */
 	listLivePeers(now: number): string[] {
-		return [...this.peers].filter(([, {link, lastSeenAt: heardAt}]) => link.current !== undefined && now - heardAt <= linkTimeoutMs).map(([address]) => address);
+		return [...this.peers].filter(([, {link, lastSeenAt}]) => link.current !== undefined && now - lastSeenAt <= linkTimeoutMs).map(([address]) => address);
 	}
 
 	/** Whether a peer has sent its view since the start. */
--- a/src/mesh/registration.ts
+++ b/src/mesh/registration.ts
@@ -12,6 +12,7 @@
 
 /** Duration of the lease, milliseconds: the platform's maximum, to keep the cost of renewals low. */
 const leaseMs = 600_000;
+/** Interval between renewals of the lease, milliseconds. */
 const renewalIntervalMs = 200_000;
 /** Interval between two attempts to register or renew, milliseconds. */
 const retryIntervalMs = 1000;
