--- a/features/support/call-fleet.ts
+++ b/features/support/fleet-simulation.ts
@@ -10,7 +10,7 @@
 import {type SendOutcome} from '../../src/forward/send-outcome.js';
 import {type TargetTransport} from '../../src/forward/target-transport.js';
 import {type TransportListener} from '../../src/forward/transport-listener.js';
-import {FleetTarget} from './fleet-target.js';
+import {SimulatedTarget} from './simulated-target.js';
 
 type Path = ReturnType<typeof makeForwardPath>;
 type SendOptions = Parameters<TargetTransport['send']>[0];
@@ -25,36 +25,36 @@
 	readonly maximumAttempts?: number;
 };
 
-/** One entry and one life of a target, named together. */
-type Pair = string;
-/** A request that has reached a target. */
-type Arrival = {readonly pair: Pair; readonly target: FleetTarget; readonly at: number; readonly isCrashing: boolean};
-/** What a target has asked an entry for, from when it answered. */
-type Rest = {readonly pair: Pair; readonly from: number; readonly until: number};
-/** When an entry first read that a target leaves. */
-type Notice = {readonly pair: Pair; readonly at: number};
-/** A refusal: at which entry, when, how long that had taken, and when the caller was told to come back. */
+/** Identifies an entry and a target incarnation together. */
+type EntryAndIncarnation = string;
+/** A request that reached a target; time in milliseconds. */
+type Arrival = {readonly pair: EntryAndIncarnation; readonly target: SimulatedTarget; readonly at: number; readonly isCrashing: boolean};
+/** A cooldown that a target asked an entry for, from the time of its answer, milliseconds. */
+type Cooldown = {readonly pair: EntryAndIncarnation; readonly from: number; readonly until: number};
+/** An answer in which an entry read that a target is leaving, milliseconds. */
+type Notice = {readonly pair: EntryAndIncarnation; readonly at: number};
+/** A refusal: the entry, the time, how long it took, and when the caller may retry, milliseconds. */
 type Refusal = {readonly entry: number; readonly at: number; readonly afterMs: number; readonly returnAt: number};
-/** A caller's request: when it was asked first, how often, and whether it was served in the end. */
+/** A caller's request: time of the first attempt (milliseconds), number of attempts, and whether it was served in the end. */
 type Call = {readonly askedAt: number; readonly body: Uint8Array<ArrayBuffer>; tries: number; isServed: boolean};
 
-const turnMs = 2;
+const stepMs = 2;
 const tickMs = 100;
-/** One way between an entry and a target. */
+/** One-way delay between an entry and a target, milliseconds. */
 const latencyMs = 2;
-/** Entries hear what the others have in flight so late. */
-const reportMs = 200;
-/** A stream's first event comes after this time in a slot, the others one after the other, and it ends with the last. */
+/** Interval of the reports between entries, milliseconds. */
+const reportIntervalMs = 200;
+/** Time to a stream's first event, interval between events, and duration of the stream, milliseconds. */
 const firstEventMs = 150;
 const eventMs = 75;
 const streamMs = 900;
 const deadlineMs = 8000;
-/** A target that has crashed is back after this time. */
+/** Time until a crashed target has restarted, milliseconds. */
 const restartMs = 1500;
-/** The request that crashes its targets, as they begin to run it. */
+/** Body of the request that crashes targets when they begin to run it. */
 const crashingBody = new Uint8Array([255]);
-/** Callers keep to the time that they are told up to this share of what they have left. */
-const honouredShare = 1 / 3;
+/** Callers wait for the Retry-After time up to this share of their remaining time. */
+const obeyedShare = 1 / 3;
 const slots = 8;
 const zones = 3;
 
@@ -71,33 +71,33 @@
 	isResumable: true,
 });
 
-/** Entries that send callers' streams to targets, all in memory and by one clock: the product's path without a network. */
-export class CallFleet {
+/** Entries that send callers' streams to targets, in memory and with a simulated clock: the production code path without a network. */
+export class FleetSimulation {
 	now = 0;
-	readonly targets: FleetTarget[] = [];
-	/** One way between two entries. */
+	readonly targets: SimulatedTarget[] = [];
+	/** One-way delay between two entries, milliseconds. */
 	linkMs = latencyMs;
-	/** Whether callers' requests all look alike; each is another one if not. */
-	isAlike = true;
-	/** Entries that hear only each other, for now; empty when all hear all. */
+	/** Whether callers' requests are identical; otherwise each is different. */
+	isIdentical = true;
+	/** Entries whose links to the others are cut; empty when all are linked. */
 	cutOff: ReadonlySet<number> = new Set();
 	readonly paths: Path[] = [];
 	readonly arrivals: Arrival[] = [];
-	readonly rests: Rest[] = [];
+	readonly cooldowns: Cooldown[] = [];
 	readonly notices: Notice[] = [];
 	readonly calls: Call[] = [];
 	readonly refusals: Refusal[] = [];
-	/** What entries log, of targets and in the lines of requests. */
+	/** Log lines of the entries, and the trails of their requests. */
 	readonly lines: string[] = [];
 	private readonly random: () => number;
-	private due: Array<{readonly at: number; readonly run: () => void}> = [];
+	private scheduled: Array<{readonly at: number; readonly run: () => void}> = [];
 	private nextCallAt = 0;
 
 	constructor(private readonly options: FleetOptions) {
 		const generator = xoroshiro128plus(options.seed);
 		this.random = () => uniformFloat64(generator);
 		for (let index = 0; index < options.targets; index++) {
-			this.targets.push(new FleetTarget({
+			this.targets.push(new SimulatedTarget({
 				id: `target-${index}`, service: 'desk', address: '10.0.0.1', port: index + 1, availabilityZone: `zone-${index % zones}`, slots, isLeaving: false, bornAt: 1,
 			}));
 		}
@@ -109,7 +109,7 @@
 		this.register();
 	}
 
-	/** Has all entries hear which targets are registered. */
+	/** Updates the registered targets at all entries. */
 	register(): void {
 		for (const path of this.paths) {
 			const {renewed} = path.book.directory.replace(this.targets.map(({target}) => target), this.now, false);
@@ -119,25 +119,25 @@
 		}
 	}
 
-	/** Lets time pass up to a moment, milliseconds, with callers that ask at the fleet's rate. */
-	async pass(until: number): Promise<void> {
+	/** Advances the clock to a time, milliseconds, with callers sending at the configured rate. */
+	async advance(until: number): Promise<void> {
 		while (this.now < until) {
-			this.now += turnMs;
-			this.turn();
+			this.now += stepMs;
+			this.step();
 			await yieldTurn();
 		}
 	}
 
-	/** A caller asks for what crashes the targets that run it, at an entry that is drawn unless one is named. */
-	crash(entry = this.draw(this.options.entries)): void {
+	/** Sends the request that crashes targets, to a random entry unless one is given. */
+	sendCrashingRequest(entry = this.draw(this.options.entries)): void {
 		const call: Call = {
 			askedAt: this.now, body: crashingBody, tries: 0, isServed: false,
 		};
 		void this.ask(call, entry);
 	}
 
-	/** A target crashes, and is back a little later. */
-	crashTarget(target: FleetTarget): void {
+	/** Crashes a target, and restarts it after a while. */
+	crashTarget(target: SimulatedTarget): void {
 		target.crash();
 		this.after(restartMs, () => {
 			target.restart();
@@ -145,25 +145,25 @@
 		});
 	}
 
-	/** Draws a number below `count`. */
+	/** Returns a random integer below `count`. */
 	draw(count: number): number {
 		return Math.floor(this.random() * count);
 	}
 
-	private turn(): void {
+	private step(): void {
 		if (this.now % tickMs === 0) {
 			for (const path of this.paths) {
 				path.tick();
 			}
 		}
 
-		if (this.now % reportMs === 0) {
+		if (this.now % reportIntervalMs === 0) {
 			this.exchangeReports();
 		}
 
 		while (this.nextCallAt <= this.now) {
 			this.nextCallAt += -Math.log(1 - this.random()) * 1000 / this.options.requestsPerSecond;
-			const body = new Uint8Array(this.isAlike ? [0] : [this.calls.length % 251, Math.floor(this.calls.length / 251), 1]);
+			const body = new Uint8Array(this.isIdentical ? [0] : [this.calls.length % 251, Math.floor(this.calls.length / 251), 1]);
 			const call: Call = {
 				askedAt: this.now, body, tries: 0, isServed: false,
 			};
@@ -171,9 +171,9 @@
 			void this.ask(call);
 		}
 
-		const ready = this.due.filter(({at}) => at <= this.now);
-		this.due = this.due.filter(({at}) => at > this.now);
-		for (const {run} of ready) {
+		const dueActions = this.scheduled.filter(({at}) => at <= this.now);
+		this.scheduled = this.scheduled.filter(({at}) => at > this.now);
+		for (const {run} of dueActions) {
 			run();
 		}
 	}
@@ -186,25 +186,25 @@
 
 	private report(index: number): void {
 		const {board} = this.paths[index];
-		const inFlight = board.getOwn();
-		const news = this.paths[index].getDigest(false, this.now);
+		const inFlight = board.getOwnCounts();
+		const digest = this.paths[index].getDigest(false, this.now);
 		for (const [other, path] of this.paths.entries()) {
 			if (other !== index && this.isLinked(index, other)) {
 				path.board.merge(`entry-${index}`, inFlight, this.now);
-				path.mergeDigest(`entry-${index}`, news, other % zones === index % zones, this.now);
+				path.mergeDigest(`entry-${index}`, digest, other % zones === index % zones, this.now);
 			}
 		}
 	}
 
-	/* Asks an entry for a permit and brings its answer back, if the two are linked both times. */
+	/* Requests a permit from a peer and delivers its answer, if the two are linked both times. */
 	private askPermit(entry: number, peer: string, question: PermitQuestion): boolean {
-		const keeper = Number(peer.slice('entry-'.length));
-		if (!this.isLinked(entry, keeper)) {
+		const grantor = Number(peer.slice('entry-'.length));
+		if (!this.isLinked(entry, grantor)) {
 			return false;
 		}
 
 		this.after(this.linkMs, () => {
-			const answer = this.paths[keeper].book.permits.answer(question);
+			const answer = this.paths[grantor].book.permits.answer(question);
 			this.after(this.linkMs, () => {
 				this.paths[entry].book.permits.receive(answer);
 			});
@@ -212,7 +212,7 @@
 		return true;
 	}
 
-	/* A caller asks some entry, and once more when it is told to come back. */
+	/* Sends a caller's request to a random entry, and retries once after a refusal. */
 	private async ask(call: Call, entry = this.draw(this.options.entries)): Promise<void> {
 		call.tries++;
 		const incoming = new IncomingMessage(new Socket());
@@ -236,7 +236,7 @@
 		this.refusals.push({
 			entry, at: this.now, afterMs: this.now - exchange.arrivedAt, returnAt: this.now + (result.error.options.retryAfterMs ?? 0),
 		});
-		const afterMs = Math.min(result.error.options.retryAfterMs ?? 0, (exchange.deadline - this.now) * honouredShare);
+		const afterMs = Math.min(result.error.options.retryAfterMs ?? 0, (exchange.deadline - this.now) * obeyedShare);
 		if (call.tries === 1) {
 			this.after(afterMs, () => {
 				void this.ask(call);
@@ -249,7 +249,7 @@
 	}
 
 	private after(ms: number, run: () => void): void {
-		this.due.push({at: this.now + ms, run});
+		this.scheduled.push({at: this.now + ms, run});
 	}
 
 	private openPath(entry: number): Path {
@@ -294,7 +294,7 @@
 				const target = this.targets.find(other => other.target.id === options.target.id)!;
 				const pair = `${entry} ${target.target.id} ${target.target.bornAt}`;
 				if (target.isDown) {
-					resolve({kind: 'not-run', reason: 'not sent: nobody listens', wasSent: false});
+					resolve({kind: 'not-run', reason: 'not sent: connection refused', wasSent: false});
 					return;
 				}
 
@@ -308,18 +308,18 @@
 				}
 
 				if (refused.marks.restMs !== undefined) {
-					this.rests.push({pair, from: this.now, until: this.now + refused.marks.restMs});
+					this.cooldowns.push({pair, from: this.now, until: this.now + refused.marks.restMs});
 				}
 
-				this.after(latencyMs + refused.lateMs, () => {
-					this.tell(pair, {target: options.target, sentAt}, refused.marks, listener);
+				this.after(latencyMs + refused.delayMs, () => {
+					this.deliverHead(pair, {target: options.target, sentAt}, refused.marks, listener);
 					resolve(refused.outcome);
 				});
 			});
 		});
 	}
 
-	private serve(target: FleetTarget, pair: Pair, {target: meant, exchange, delivery, signal, onProgress}: SendOptions, {sentAt, listener, resolve}: Receiver): void {
+	private serve(target: SimulatedTarget, pair: EntryAndIncarnation, {target: meant, exchange, delivery, signal, onProgress}: SendOptions, {sentAt, listener, resolve}: Receiver): void {
 		const sent = {target: meant, sentAt};
 		const state: {isLost: boolean; answeredAt?: number} = {isLost: false};
 		const end = target.run(() => {
@@ -334,7 +334,7 @@
 				return;
 			}
 
-			this.tell(pair, sent, target.marks, listener);
+			this.deliverHead(pair, sent, target.marks, listener);
 			state.answeredAt = this.now;
 			delivery.start(200, []);
 			if (exchange.body === crashingBody) {
@@ -356,7 +356,7 @@
 		});
 	}
 
-	private tell(pair: Pair, {target, sentAt}: Sent, marks: AnswerMarks, listener: TransportListener): void {
+	private deliverHead(pair: EntryAndIncarnation, {target, sentAt}: Sent, marks: AnswerMarks, listener: TransportListener): void {
 		listener.onHead(target, marks, sentAt);
 		if (marks.isLeaving) {
 			this.notices.push({pair, at: this.now});
