--- a/bench/capacity.ts
+++ b/bench/capacity.ts
@@ -104,16 +104,16 @@
 		peers: Array.from({length: 4}, (_, index) => ({id: `entry-${index}`, incarnation: 'b'.repeat(18), counter: 100_000})),
 	} satisfies LinkMessage;
 	for (let index = 0; index < 360; index++) {
-		membership.hear({...heartbeat, id: `entry-${index}`}, 0);
+		membership.receiveHeartbeat({...heartbeat, id: `entry-${index}`}, 0);
 	}
 
 	const rounds = 300;
 	const before = process.cpuUsage();
 	for (let index = 0; index < rounds; index++) {
-		membership.pickNext(index);
+		membership.pickHeartbeatReceivers(index);
 		membership.makeHeartbeat({tableVersion: 1, changeId: 'x'}, Math.random, index);
 		for (let heard = 0; heard < 2; heard++) {
-			membership.hear(heartbeat, index);
+			membership.receiveHeartbeat(heartbeat, index);
 		}
 	}
 
--- a/features/steps/directory-steps.ts
+++ b/features/steps/directory-steps.ts
@@ -58,7 +58,7 @@
 });
 
 When('target 3 is found to be gone', function (this: SystemWorld) {
-	(this.notes.get('directory') as TargetDirectory).drop(makeTarget(3));
+	(this.notes.get('directory') as TargetDirectory).markGone(makeTarget(3));
 });
 
 Then('only targets {int} and {int} are used', function (this: SystemWorld, one: number, other: number) {
@@ -69,7 +69,7 @@
 	const directory = new TargetDirectory();
 	const target = {...makeTarget(1), bornAt};
 	directory.replace([target], 0, false);
-	directory.drop(target);
+	directory.markGone(target);
 	this.notes.set('directory', directory);
 	this.notes.set('former life', target);
 });
@@ -81,7 +81,7 @@
 });
 
 When('a late answer tells again that its former life is gone', function (this: SystemWorld) {
-	(this.notes.get('directory') as TargetDirectory).drop(this.notes.get('former life') as ReturnType<typeof makeTarget>);
+	(this.notes.get('directory') as TargetDirectory).markGone(this.notes.get('former life') as ReturnType<typeof makeTarget>);
 });
 
 Then('it is used at port {int}, and what was kept for its former life is dropped', function (this: SystemWorld, port: number) {
--- a/features/steps/item-guard-steps.ts
+++ b/features/steps/item-guard-steps.ts
@@ -33,9 +33,9 @@
 			poll: async () => noAnswer,
 		},
 		prefix: '',
-		guard: makeItemGuard(plainSource),
+		comparator: makeItemGuard(plainSource),
 		waitMs: 1,
-		longestPauseMs: 1,
+		maximumBackoffMs: 1,
 		clock: () => 0,
 		random: () => 0,
 		// The view reads once.
@@ -63,17 +63,17 @@
 
 When('a newer view tells of configuration {int}, and that the target is ready', function (this: SystemWorld, version: number) {
 	const items = makeItems(version, {isLeaving: false}, 3).map(item => ({...item, era: 1}));
-	getView(this).takeSnapshot({asOf: {era: 1, number: 4}, ageMs: 0, items});
+	getView(this).mergeSnapshot({asOf: {era: 1, number: 4}, ageMs: 0, items});
 });
 
 When('a newer view tells of configuration {int}, and of a later life of the target', function (this: SystemWorld, version: number) {
 	const items = makeItems(version, {bornAt: 2, isLeaving: false}, 5).map(item => ({...item, era: 1}));
-	getView(this).takeSnapshot({asOf: {era: 1, number: 6}, ageMs: 0, items});
+	getView(this).mergeSnapshot({asOf: {era: 1, number: 6}, ageMs: 0, items});
 });
 
 When('it takes over a peer\'s view of a new era, which lacks the target since it was removed', function (this: SystemWorld) {
 	const [configuration, ended] = makeItems(7, {}, 1).map(item => ({...item, era: 1}));
-	getView(this).takeSnapshot({
+	getView(this).mergeSnapshot({
 		asOf: {era: 2, number: 1}, ageMs: 0, items: [{...configuration, era: 2}], removed: [{item: ended, agoMs: 100}],
 	});
 });
@@ -84,14 +84,14 @@
 
 Then('a peer that takes it over does as well', function (this: SystemWorld) {
 	const peer = openView();
-	peer.takeSnapshot(getView(this).getSnapshot(0));
+	peer.mergeSnapshot(getView(this).getSnapshot(0));
 	assert.equal(describeView(peer), describeView(getView(this)));
 });
 
 Given('a directory that knows of a target that leaves', function (this: SystemWorld) {
 	const directory = new TargetDirectory();
 	directory.replace([target], 0, false);
-	directory.noteLeave(target, 0);
+	directory.noteDeparture(target, 0);
 	this.notes.set('leaving directory', directory);
 });
 
@@ -101,6 +101,6 @@
 
 Then('peers are told for {int} ms more that it leaves', function (this: SystemWorld, ms: number) {
 	const directory = this.notes.get('leaving directory') as TargetDirectory;
-	assert.deepEqual(directory.listLeaves(goneAt + ms), [{id: target.id, bornAt: target.bornAt}]);
-	assert.deepEqual(directory.listLeaves(goneAt + ms + 1), []);
+	assert.deepEqual(directory.listDepartures(goneAt + ms), [{id: target.id, bornAt: target.bornAt}]);
+	assert.deepEqual(directory.listDepartures(goneAt + ms + 1), []);
 });
--- a/features/steps/membership-steps.ts
+++ b/features/steps/membership-steps.ts
@@ -9,7 +9,7 @@
 const getScene = (world: SystemWorld): Scene => world.notes.get('scene') as Scene;
 
 const hear = (scene: Scene, id: string, incarnation = 'a', peers: Array<{id: string; incarnation: string; counter: number}> = []): void => {
-	scene.membership.hear({
+	scene.membership.receiveHeartbeat({
 		type: 'heartbeat', id, incarnation, counter: scene.counter, tableVersion: 0, changeId: '', peers,
 	}, scene.now);
 };
@@ -93,7 +93,7 @@
 
 Then('half of the zones are visible', function (this: SystemWorld) {
 	const scene = getScene(this);
-	assert.equal(scene.membership.getVisibleShare(scene.now), 0.5);
+	assert.equal(scene.membership.getReachableZoneShare(scene.now), 0.5);
 });
 
 Then(/^(\d+) entr(?:y|ies) (?:is|are) counted as live$/, function (this: SystemWorld, count: string) { // eslint-disable-line require-unicode-regexp
--- a/features/steps/restored-store-steps.ts
+++ b/features/steps/restored-store-steps.ts
@@ -2,11 +2,11 @@
 import {Given, Then, When} from '@cucumber/cucumber';
 import {Registry} from 'prom-client';
 import {makeViewGauges} from '../../src/metrics/make-view-gauges.js';
-import {StoreCrowd} from '../support/store-crowd.js';
-import {stirStore} from '../support/stir-store.js';
+import {StoreSimulation} from '../support/store-simulation.js';
+import {injectRandomFaults} from '../support/inject-random-faults.js';
 import {type SystemWorld} from '../support/system-world.js';
 
-const getCrowd = (world: SystemWorld): StoreCrowd => world.notes.get('crowd') as StoreCrowd;
+const getCrowd = (world: SystemWorld): StoreSimulation => world.notes.get('crowd') as StoreSimulation;
 const longScenarioMs = 120_000;
 /** Time until entries that start know each other and the store, milliseconds. */
 const settleMs = 1000;
@@ -15,13 +15,13 @@
 /** Time between two starts, milliseconds. */
 const startMs = 50;
 
-const startEntries = async (crowd: StoreCrowd, first: number, last: number): Promise<void> => {
+const startEntries = async (crowd: StoreSimulation, first: number, last: number): Promise<void> => {
 	for (let number = first; number <= last; number++) {
 		crowd.start(String(number));
-		await crowd.pass(startMs);
+		await crowd.advance(startMs);
 	}
 
-	await crowd.pass(settleMs);
+	await crowd.advance(settleMs);
 };
 
 const loseChanges = async (world: SystemWorld, count: number, awayMs: number, isSilent = false): Promise<void> => {
@@ -31,17 +31,17 @@
 		crowd.store.put(`others/${number}`, number);
 	}
 
-	await crowd.pass(settleMs);
+	await crowd.advance(settleMs);
 	if (world.notes.has('silent waits')) {
 		crowd.store.silenceWaits('1');
 	}
 
-	await crowd.drill({awayMs, rewriteMs: 0, isSilent});
+	await crowd.restoreFromBackup({outageMs: awayMs, rewriteDelayMs: 0, isSilent});
 	world.notes.set('calls', new Map(crowd.store.calls));
 };
 
 Given('{int} entries and {int} targets that follow a store', {timeout: longScenarioMs}, async function (this: SystemWorld, entries: number, targets: number) {
-	const crowd = new StoreCrowd(1);
+	const crowd = new StoreSimulation(1);
 	this.onClose(() => {
 		crowd.close();
 	});
@@ -79,7 +79,7 @@
 });
 
 When('the entries go on for {int} ms', {timeout: longScenarioMs}, async function (this: SystemWorld, ms: number) {
-	await getCrowd(this).pass(ms);
+	await getCrowd(this).advance(ms);
 });
 
 When('the connections of all waits but one entry\'s go silent', function (this: SystemWorld) {
@@ -93,22 +93,22 @@
 When('the operator changes the configuration twice, and the store comes back without the second', async function (this: SystemWorld) {
 	const crowd = getCrowd(this);
 	crowd.configure();
-	await crowd.pass(settleMs);
+	await crowd.advance(settleMs);
 	crowd.store.takeCopy();
 	crowd.configure();
 	this.notes.set('lost version', crowd.version);
-	await crowd.pass(settleMs);
+	await crowd.advance(settleMs);
 	crowd.setFault('down');
-	await crowd.pass(300);
+	await crowd.advance(300);
 	crowd.store.goBack();
 	crowd.setFault('none');
-	await crowd.pass(settleMs);
+	await crowd.advance(settleMs);
 });
 
 When('the operator changes the configuration, and then writes the one before again', async function (this: SystemWorld) {
 	const crowd = getCrowd(this);
 	crowd.configure();
-	await crowd.pass(settleMs);
+	await crowd.advance(settleMs);
 	crowd.writeConfiguration(this.notes.get('lost version') as number);
 });
 
@@ -116,21 +116,21 @@
 
 When(comeBack, {timeout: longScenarioMs}, async function (this: SystemWorld, awayMs: number, rewriteMs: number) {
 	const crowd = getCrowd(this);
-	crowd.startWatchingUse();
+	crowd.startTrackingUse();
 	this.notes.set('calls', new Map(crowd.store.calls));
-	await crowd.drill({awayMs, rewriteMs});
+	await crowd.restoreFromBackup({outageMs: awayMs, rewriteDelayMs: rewriteMs});
 });
 
 When('a target registers that nobody will write again', async function (this: SystemWorld) {
 	const crowd = getCrowd(this);
 	crowd.register('lost');
-	await crowd.pass(settleMs);
-	crowd.forget('lost');
+	await crowd.advance(settleMs);
+	crowd.excludeFromRewrite('lost');
 });
 
 Then('no entry sends to that target', function (this: SystemWorld) {
 	assert.equal(getCrowd(this).countUsing('lost'), 0);
-	assert.deepEqual(getCrowd(this).faults, []);
+	assert.deepEqual(getCrowd(this).violations, []);
 });
 
 When('the store comes back from the copy of before that, and an entry starts before all is written again', async function (this: SystemWorld) {
@@ -138,7 +138,7 @@
 	crowd.at(600, () => {
 		crowd.start('late');
 	});
-	await crowd.drill({awayMs: 300, rewriteMs: 1500});
+	await crowd.restoreFromBackup({outageMs: 300, rewriteDelayMs: 1500});
 });
 
 When('the store comes back from the copy of before that, and only an entry that starts reaches it', async function (this: SystemWorld) {
@@ -150,10 +150,10 @@
 	crowd.at(100, () => {
 		crowd.start('late');
 	});
-	await crowd.drill({awayMs: 0, rewriteMs: 1500});
+	await crowd.restoreFromBackup({outageMs: 0, rewriteDelayMs: 1500});
 	crowd.withoutStore.clear();
 	crowd.setFault('none');
-	await crowd.pass(settleMs);
+	await crowd.advance(settleMs);
 });
 
 Then('the entry that has started has served nobody by an older configuration', function (this: SystemWorld) {
@@ -171,23 +171,23 @@
 	const crowd = getCrowd(this);
 	crowd.withoutStore.add('3');
 	crowd.setFault('none');
-	await crowd.pass(settleMs);
+	await crowd.advance(settleMs);
 });
 
 When('a target leaves and its registration is removed', async function (this: SystemWorld) {
 	const crowd = getCrowd(this);
 	crowd.store.takeCopy();
 	crowd.leave('target-1');
-	await crowd.pass(settleMs);
+	await crowd.advance(settleMs);
 	crowd.remove('target-1');
-	await crowd.pass(settleMs);
+	await crowd.advance(settleMs);
 });
 
 When('the registration of a target is removed', async function (this: SystemWorld) {
 	const crowd = getCrowd(this);
 	crowd.store.takeCopy();
 	crowd.remove('target-1');
-	await crowd.pass(settleMs);
+	await crowd.advance(settleMs);
 });
 
 When('{int} more entries start', async function (this: SystemWorld, count: number) {
@@ -197,11 +197,11 @@
 });
 
 When('drills, changes, starts, cuts, slow and lost answers are mixed by seed {int} for {int} ms', {timeout: longScenarioMs}, async function (this: SystemWorld, seed: number, ms: number) {
-	await stirStore(getCrowd(this), seed, ms);
+	await injectRandomFaults(getCrowd(this), seed, ms);
 });
 
 Then('nothing was taken back or came late', function (this: SystemWorld) {
-	assert.deepEqual(getCrowd(this).faults, []);
+	assert.deepEqual(getCrowd(this).violations, []);
 });
 
 Then('log and metrics of every entry tell of the new era, and that its view goes on', async function (this: SystemWorld) {
@@ -214,7 +214,7 @@
 		assert.match(text, new RegExp(`^wardswitch_view_revision ${crowd.store.lastRevision}$`, 'mv'));
 		assert.match(text, /^wardswitch_view_retained_keys 0$/mv);
 		assert.ok(view.getAge(crowd.now) <= longestWaitMs, `${view.getAge(crowd.now)} ms`);
-		assert.ok(crowd.lines.some(line => line.includes(` ${id}: store has come back from a copy: era 1 revision`)));
+		assert.ok(crowd.logLines.some(line => line.includes(` ${id}: store has come back from a copy: era 1 revision`)));
 	}
 });
 
--- a/features/steps/stall-steps.ts
+++ b/features/steps/stall-steps.ts
@@ -8,7 +8,7 @@
 import {RepeatBudget} from '../../src/balance/repeat-budget.js';
 import {ServiceGate} from '../../src/balance/service-gate.js';
 import {TargetHealth} from '../../src/balance/target-health.js';
-import {getUnit} from '../../src/fleet/get-unit.js';
+import {getFailureDomain} from '../../src/fleet/get-failure-domain.js';
 import {TargetDirectory} from '../../src/fleet/target-directory.js';
 import {type Target} from '../../src/fleet/target.js';
 import {CrashWatch} from '../../src/forward/crash-watch.js';
@@ -265,17 +265,17 @@
 
 Given('a service of two groups, the first of which has stopped {int} ms ago', function (this: SystemWorld, ms: number) {
 	const gate = new ServiceGate(String);
-	gate.close(getUnit(members('first')[0]), -ms, 'as the scenario says');
+	gate.close(getFailureDomain(members('first')[0]), -ms, 'as the scenario says');
 	this.notes.set('gate', gate);
 	this.notes.set('targets', [...members('first'), ...members('second')]);
 });
 
 Given('the second has stopped as well', function (this: SystemWorld) {
-	(this.notes.get('gate') as ServiceGate).close(getUnit(members('second')[0]), 0, 'as the scenario says');
+	(this.notes.get('gate') as ServiceGate).close(getFailureDomain(members('second')[0]), 0, 'as the scenario says');
 });
 
 Given('the first has been formed anew', function (this: SystemWorld) {
-	(this.notes.get('gate') as ServiceGate).open(getUnit(members('first')[0]), 0);
+	(this.notes.get('gate') as ServiceGate).open(getFailureDomain(members('first')[0]), 0);
 });
 
 When('a caller asks for the service', async function (this: SystemWorld) {
--- a/features/steps/table-content-steps.ts
+++ b/features/steps/table-content-steps.ts
@@ -5,11 +5,11 @@
 import {parseTable} from '../../src/table/parse-table.js';
 import {Row} from '../../src/table/row.js';
 import {type TableSnapshot} from '../../src/table/table-snapshot.js';
-import {makeSnapshot} from '../support/make-snapshot.js';
+import {makeTableSnapshot} from '../support/make-table-snapshot.js';
 import {type SystemWorld} from '../support/system-world.js';
 
 Given('this table:', function (this: SystemWorld, csv: string) {
-	this.notes.set('table', makeSnapshot(parseTable(csv)._unsafeUnwrap().rows, 1, 'x'));
+	this.notes.set('table', makeTableSnapshot(parseTable(csv)._unsafeUnwrap().rows, 1, 'x'));
 });
 
 Then('the row for {string}, {string}, {string} has weight {int}', function (this: SystemWorld, service: string, organisation: string, group: string, weight: number) {
--- a/features/steps/table-controller-steps.ts
+++ b/features/steps/table-controller-steps.ts
@@ -5,7 +5,7 @@
 import {encodePages} from '../../src/table/encode-pages.js';
 import {TableController} from '../../src/table/table-controller.js';
 import {tableKeys} from '../../src/table/table-keys.js';
-import {makeSnapshot} from '../support/make-snapshot.js';
+import {makeTableSnapshot} from '../support/make-table-snapshot.js';
 import {type SystemWorld} from '../support/system-world.js';
 
 const unreachableKeyValue = undefined as unknown as KeyValue;
@@ -45,7 +45,7 @@
 When('the watch tells of versions {string}', async function (this: SystemWorld, versions: string) {
 	const onChange = this.notes.get('onChange') as (change: {key: string; value: string; revision: number}) => void;
 	for (const version of versions.split(', ').map(Number)) {
-		onChange({key: tableKeys.head, value: JSON.stringify(makeSnapshot([], version, `change-${version}`).head), revision: version});
+		onChange({key: tableKeys.head, value: JSON.stringify(makeTableSnapshot([], version, `change-${version}`).head), revision: version});
 		await new Promise(resolve => {
 			setImmediate(resolve);
 		});
@@ -61,7 +61,7 @@
 	const controller = new TableController({
 		keyValue: unreachableKeyValue, random: () => 0, log: message => reports.push(message), onInstall: () => undefined,
 	});
-	const {head, pages} = makeSnapshot([], version, 'ours');
+	const {head, pages} = makeTableSnapshot([], version, 'ours');
 	controller.takeOffer({type: 'table-offered', head: JSON.stringify(head), pages: [...pages.values()]});
 	assert.equal(controller.version, version);
 	this.notes.set('controller', controller);
@@ -69,7 +69,7 @@
 });
 
 When('a peer offers version {int}', function (this: SystemWorld, version: number) {
-	const {head, pages} = makeSnapshot([], version, 'older');
+	const {head, pages} = makeTableSnapshot([], version, 'older');
 	(this.notes.get('controller') as TableController).takeOffer({type: 'table-offered', head: JSON.stringify(head), pages: [...pages.values()]});
 });
 
--- a/features/steps/view-steps.ts
+++ b/features/steps/view-steps.ts
@@ -3,7 +3,7 @@
 import {err, ok} from 'neverthrow';
 import {PlatformError} from '../../src/key-value/platform-error.js';
 import {StoreView} from '../../src/view/store-view.js';
-import {unguarded} from '../../src/view/unguarded.js';
+import {unorderedItems} from '../../src/view/unordered-items.js';
 import {type SystemWorld} from '../support/system-world.js';
 
 const waitMs = 2000;
@@ -38,9 +38,9 @@
 			},
 		},
 		prefix: '',
-		guard: unguarded,
+		comparator: unorderedItems,
 		waitMs,
-		longestPauseMs: 1000,
+		maximumBackoffMs: 1000,
 		clock: () => now,
 		random: () => 0.5,
 		async delay(ms) {
@@ -125,9 +125,9 @@
 			},
 		},
 		prefix: '',
-		guard: unguarded,
+		comparator: unorderedItems,
 		waitMs,
-		longestPauseMs: 1000,
+		maximumBackoffMs: 1000,
 		clock: () => 0,
 		random: () => 0,
 		async delay() {
@@ -145,7 +145,7 @@
 const takePeerView = async (world: SystemWorld, isList: boolean, era: number): Promise<void> => {
 	const scene = await openView(isList);
 	await scene.polled;
-	scene.view.takeSnapshot({asOf: {era: 2, number: lowRevision}, ageMs: 0, items: [item('new', lowRevision)]});
+	scene.view.mergeSnapshot({asOf: {era: 2, number: lowRevision}, ageMs: 0, items: [item('new', lowRevision)]});
 	scene.answer(era);
 	await new Promise(resolve => {
 		setImmediate(resolve);
@@ -175,7 +175,7 @@
 	assert.deepEqual(view.asOf, {era: 2, number: lowRevision});
 	assert.equal(view.get('new')?.value, 'new');
 	assert.equal(view.get('former'), undefined);
-	assert.ok(view.dropped > 0);
+	assert.ok(view.droppedAnswers > 0);
 });
 
 Then('the view is of era 2, as the peer\'s', function (this: SystemWorld) {
--- a/features/support/call-fleet.ts
+++ b/features/support/call-fleet.ts
@@ -269,7 +269,7 @@
 			},
 			onRefusal: () => undefined,
 			onLeave: target => {
-				path.book.directory.noteLeave(target, this.now);
+				path.book.directory.noteDeparture(target, this.now);
 			},
 			log: line => {
 				this.lines.push(line);
--- a/features/support/entry-crowd.ts
+++ b/features/support/entry-crowd.ts
@@ -5,7 +5,7 @@
 import {LoadBoard} from '../../src/balance/load-board.js';
 import {EntryMesh} from '../../src/mesh/entry-mesh.js';
 import {StoreView} from '../../src/view/store-view.js';
-import {unguarded} from '../../src/view/unguarded.js';
+import {unorderedItems} from '../../src/view/unordered-items.js';
 import {MemoryStore} from '../../stand-ins/forward/memory-store.js';
 import {NarrowNetwork} from './narrow-network.js';
 
@@ -142,9 +142,9 @@
 			view: new StoreView({
 				feed: new MemoryStore().open(address),
 				prefix: '',
-				guard: unguarded,
+				comparator: unorderedItems,
 				waitMs: 1,
-				longestPauseMs: 1,
+				maximumBackoffMs: 1,
 				clock,
 				random: this.random,
 				delay: async () => undefined,
--- a/features/support/stir-store.ts
+++ b/features/support/inject-random-faults.ts
@@ -1,32 +1,32 @@
 import {uniformFloat64} from 'pure-rand/distribution/uniformFloat64';
 import {xoroshiro128plus} from 'pure-rand/generator/xoroshiro128plus';
-import {type StoreCrowd} from './store-crowd.js';
+import {type StoreSimulation} from './store-simulation.js';
 
 type Draw = (count: number) => number;
-type Stir = (crowd: StoreCrowd, draw: Draw, turn: number) => void;
+type Disturbance = (crowd: StoreSimulation, draw: Draw, turn: number) => void;
 
 /** Time after the last trouble until the mixture ends, milliseconds. */
-const calmMs = 6000;
-const longestPauseMs = 900;
-const longestTroubleMs = 2500;
-const longestRewriteMs = 1500;
+const settleMs = 6000;
+const maximumPauseMs = 900;
+const maximumFaultMs = 2500;
+const maximumRewriteDelayMs = 1500;
 const slowMs = 240;
-const usualMs = 4;
+const normalMs = 4;
 const lostShare = 0.4;
 
 /* A trouble lasts for a while, and ends by itself. */
-const trouble = (begin: (crowd: StoreCrowd, draw: Draw) => () => void): Stir => (crowd, draw) => {
-	crowd.disturb();
+const makeTemporaryFault = (begin: (crowd: StoreSimulation, draw: Draw) => () => void): Disturbance => (crowd, draw) => {
+	crowd.suspendDeadlines();
 	const end = begin(crowd, draw);
-	crowd.at(300 + draw(longestTroubleMs), () => {
+	crowd.at(300 + draw(maximumFaultMs), () => {
 		end();
-		crowd.calm();
+		crowd.resumeDeadlines();
 	});
 };
 
-const pick = (crowd: StoreCrowd, draw: Draw): string => [...crowd.entries.keys()][draw(crowd.entries.size)];
+const pick = (crowd: StoreSimulation, draw: Draw): string => [...crowd.entries.keys()][draw(crowd.entries.size)];
 
-const stirs: readonly Stir[] = [
+const disturbances: readonly Disturbance[] = [
 	crowd => {
 		crowd.configure();
 	},
@@ -48,7 +48,7 @@
 	crowd => {
 		crowd.store.takeCopy();
 	},
-	trouble((crowd, draw) => {
+	makeTemporaryFault((crowd, draw) => {
 		const id = pick(crowd, draw);
 		crowd.withoutStore.add(id);
 		crowd.setFault('none');
@@ -57,26 +57,26 @@
 			crowd.setFault('none');
 		};
 	}),
-	trouble((crowd, draw) => {
+	makeTemporaryFault((crowd, draw) => {
 		const {address} = crowd.entries.get(pick(crowd, draw))!;
-		crowd.cutOff.add(address);
+		crowd.partitioned.add(address);
 		return () => {
-			crowd.cutOff.delete(address);
+			crowd.partitioned.delete(address);
 		};
 	}),
-	trouble(crowd => {
-		crowd.storeMs = slowMs;
+	makeTemporaryFault(crowd => {
+		crowd.storeRoundTripMs = slowMs;
 		return () => {
-			crowd.storeMs = usualMs;
+			crowd.storeRoundTripMs = normalMs;
 		};
 	}),
-	trouble(crowd => {
-		crowd.lostShare = lostShare;
+	makeTemporaryFault(crowd => {
+		crowd.lostAnswerShare = lostShare;
 		return () => {
-			crowd.lostShare = 0;
+			crowd.lostAnswerShare = 0;
 		};
 	}),
-	trouble((crowd, draw) => {
+	makeTemporaryFault((crowd, draw) => {
 		const id = pick(crowd, draw);
 		crowd.kill(id);
 		return () => {
@@ -86,18 +86,18 @@
 ];
 
 /** Mixes drills of the store with changes and other trouble, drawn by a seed, and ends in calm. */
-export async function stirStore(crowd: StoreCrowd, seed: number, ms: number): Promise<void> {
+export async function injectRandomFaults(crowd: StoreSimulation, seed: number, ms: number): Promise<void> {
 	const generator = xoroshiro128plus(seed);
 	const draw: Draw = count => Math.floor(uniformFloat64(generator) * count);
 	for (let turn = 0; crowd.now < ms; turn++) {
-		await crowd.pass(10 + draw(longestPauseMs));
+		await crowd.advance(10 + draw(maximumPauseMs));
 		const isDrill = draw(8) === 0;
 		if (isDrill) {
-			await crowd.drill({awayMs: draw(2) * draw(longestTroubleMs), rewriteMs: draw(longestRewriteMs), isSilent: draw(3) === 0});
+			await crowd.restoreFromBackup({outageMs: draw(2) * draw(maximumFaultMs), rewriteDelayMs: draw(maximumRewriteDelayMs), isSilent: draw(3) === 0});
 		} else {
-			stirs[draw(stirs.length)](crowd, draw, turn);
+			disturbances[draw(disturbances.length)](crowd, draw, turn);
 		}
 	}
 
-	await crowd.pass(longestTroubleMs + calmMs);
+	await crowd.advance(maximumFaultMs + settleMs);
 }
--- a/features/support/open-store-entry.ts
+++ b/features/support/make-simulated-entry.ts
@@ -4,9 +4,9 @@
 import {type Registry} from '../../src/key-value/registry.js';
 import {type LinkConnection} from '../../src/link/link-connection.js';
 import {plainSource} from '../../stand-ins/forward/plain-source.js';
-import {type StoreEntry} from './store-entry.js';
+import {type SimulatedEntry} from './simulated-entry.js';
 
-type Surroundings = {
+type EntryOptions = {
 	readonly id: string;
 	readonly address: string;
 	readonly availabilityZone: string;
@@ -19,7 +19,7 @@
 };
 
 /** Puts an entry together as a process does, but for callers and sockets. */
-export function openStoreEntry({id, address, availabilityZone, store, connect, clock, random, log}: Surroundings): StoreEntry {
+export function makeSimulatedEntry({id, address, availabilityZone, store, connect, clock, random, log}: EntryOptions): SimulatedEntry {
 	const path = makeForwardPath({
 		availabilityZone,
 		repeats: {ratio: 0.2, slack: 90, windowMs: 10_000},
--- a/features/support/make-snapshot.ts
+++ b/features/support/make-table-snapshot.ts
@@ -3,7 +3,7 @@
 import {TableSnapshot} from '../../src/table/table-snapshot.js';
 
 /** Makes a table as a process holds it. */
-export function makeSnapshot(rows: readonly Row[], version: number, changeId: string): TableSnapshot {
+export function makeTableSnapshot(rows: readonly Row[], version: number, changeId: string): TableSnapshot {
 	const pages = encodePages(rows);
 	const head = {
 		version, changeId, recent: [], at: 0, operator: 'x', pages: pages.map(({hash}) => hash),
--- a/features/support/reach-store.ts
+++ b/features/support/make-unreliable-store.ts
@@ -3,17 +3,17 @@
 import {PlatformError} from '../../src/key-value/platform-error.js';
 import {type Registry} from '../../src/key-value/registry.js';
 
-type Way = {
+type NetworkBehaviour = {
 	/** Called for each call. */
 	readonly onCall: () => void;
 	/** One way of a call and back, milliseconds. */
-	readonly getMs: () => number;
+	readonly getRoundTripMs: () => number;
 	/** Whether the answer of a call is lost, after it was carried out. */
 	readonly isLost: () => boolean;
 };
 
 /** A store as a process reaches it: its calls take time, and some answers are lost. */
-export function reachStore(store: ChangeFeed & Registry, {onCall, getMs, isLost}: Way): ChangeFeed & Registry {
+export function makeUnreliableStore(store: ChangeFeed & Registry, {onCall, getRoundTripMs: getMs, isLost}: NetworkBehaviour): ChangeFeed & Registry {
 	const delay = async (ms: number): Promise<void> => new Promise(resolve => {
 		setTimeout(resolve, ms);
 	});
--- a/features/support/office-crowd.ts
+++ b/features/support/office-crowd.ts
@@ -4,7 +4,7 @@
 import {xoroshiro128plus} from 'pure-rand/generator/xoroshiro128plus';
 import {PlannerElection} from '../../src/expert-balance/planner-election.js';
 import {StoreView} from '../../src/view/store-view.js';
-import {unguarded} from '../../src/view/unguarded.js';
+import {unorderedItems} from '../../src/view/unordered-items.js';
 import {MemoryStore} from '../../stand-ins/forward/memory-store.js';
 
 type Candidate = {readonly id: string; readonly view: StoreView; readonly election: PlannerElection; term: number | undefined; isFrozen: boolean};
@@ -92,7 +92,7 @@
 		for (const {view, election, isFrozen} of this.candidates) {
 			if (!isFrozen) {
 				view.tick(this.now);
-				void election.tick(this.now, view.isKnown ? {era: view.asOf.era, holder: view.get(officeKey), stored: view.getStored(officeKey)} : undefined, false);
+				void election.tick(this.now, view.isLoaded ? {era: view.asOf.era, holder: view.get(officeKey), stored: view.getStored(officeKey)} : undefined, false);
 			}
 		}
 	}
@@ -116,9 +116,9 @@
 		const view = new StoreView({
 			feed: store,
 			prefix: officeKey,
-			guard: unguarded,
+			comparator: unorderedItems,
 			waitMs,
-			longestPauseMs,
+			maximumBackoffMs: longestPauseMs,
 			clock: () => this.now,
 			random: this.random,
 			delay: async ms => new Promise(resolve => {
--- a/features/support/store-entry.ts
+++ b/features/support/simulated-entry.ts
@@ -2,7 +2,7 @@
 import {type makeForwardPath} from '../../src/forward/make-forward-path.js';
 
 /** An entry of a crowd that follows one store, and what was seen at it. */
-export type StoreEntry = {
+export type SimulatedEntry = {
 	readonly id: string;
 	readonly address: string;
 	readonly startedAt: number;
--- a/features/support/store-crowd.ts
+++ b/features/support/store-simulation.ts
@@ -5,65 +5,65 @@
 import {type Target} from '../../src/fleet/target.js';
 import {MemoryStore} from '../../stand-ins/forward/memory-store.js';
 import {NarrowNetwork} from './narrow-network.js';
-import {openStoreEntry} from './open-store-entry.js';
-import {reachStore} from './reach-store.js';
-import {type StoreEntry} from './store-entry.js';
+import {makeSimulatedEntry} from './make-simulated-entry.js';
+import {makeUnreliableStore} from './make-unreliable-store.js';
+import {type SimulatedEntry} from './simulated-entry.js';
 
 /** What an operator or a target has written: the document wanted now, and since when. */
-type Writing = {readonly value: unknown; readonly at: number};
-type Drill = {
+type ExpectedDocument = {readonly value: unknown; readonly at: number};
+type RestoreOptions = {
 	/** For how long the store answers nobody before it is back. */
-	readonly awayMs: number;
+	readonly outageMs: number;
 	/** For how long after its return operator and targets write nothing again. */
-	readonly rewriteMs: number;
+	readonly rewriteDelayMs: number;
 	readonly isSilent?: boolean;
 };
 
-const turnMs = 10;
+const clockStepMs = 10;
 const tickMs = 100;
 const latencyMs = 2;
 const bytesPerSecond = 5_000_000;
 const zones = 3;
 /** Longest time from an accepted change, or from the end of what kept it back, until it is in force everywhere. */
-const applyMs = 2000;
+const configurationDeadlineMs = 2000;
 /** The same for a target that leaves, until nothing new is sent to it. */
-const drainMs = 2000;
+const drainDeadlineMs = 2000;
 /** After a drill, what was registered is used again, and what is gone is not, at the latest after this time. */
-const settleMs = 3000;
+const settleDeadlineMs = 3000;
 const configurationKey = 'configuration';
 
 const getKey = (id: string): string => `targets/${id}`;
 
 /** Entries that follow one store, as they are put together in a process but for callers and sockets, by one clock. */
-export class StoreCrowd {
+export class StoreSimulation {
 	now = 0;
 	readonly store = new MemoryStore(() => this.now);
-	readonly entries = new Map<string, StoreEntry>();
+	readonly entries = new Map<string, SimulatedEntry>();
 	/** What must never be seen, with the time. */
-	readonly faults: string[] = [];
-	readonly lines: string[] = [];
+	readonly violations: string[] = [];
+	readonly logLines: string[] = [];
 	/** Entries that do not reach the others, and those that do not reach the store. */
-	readonly cutOff = new Set<string>();
+	readonly partitioned = new Set<string>();
 	readonly withoutStore = new Set<string>();
 	/** Targets that are registered, and that an entry has ceased to use since `startWatchingUse`. */
 	readonly unused = new Set<string>();
 	/** One way of a call of the store and back, milliseconds, and the share of answers that are lost. */
-	storeMs = 4;
-	lostShare = 0;
+	storeRoundTripMs = 4;
+	lostAnswerShare = 0;
 	version = 0;
-	private readonly writings = new Map<string, Writing>();
-	private readonly left = new Map<string, number>();
+	private readonly expectedDocuments = new Map<string, ExpectedDocument>();
+	private readonly leftAtById = new Map<string, number>();
 	/** Until when a bound does not hold yet because of the last drill or cut. */
-	private calmAt = 0;
+	private deadlinesApplyFrom = 0;
 	private nextPort = 1000;
-	private troubles = 0;
-	private isWatchingUse = false;
+	private activeFaults = 0;
+	private isTrackingUse = false;
 	private scheduled: Array<{readonly at: number; readonly run: () => void}> = [];
 	private readonly callsPerSecond = new Map<string, number>();
 	private configuredAt = 0;
 	private readonly random: () => number;
 	private readonly network = new NarrowNetwork({
-		bytesPerSecond, latencyMs, clock: () => this.now, isReachable: (from, to) => !this.cutOff.has(from) && !this.cutOff.has(to),
+		bytesPerSecond, latencyMs, clock: () => this.now, isReachable: (from, to) => !this.partitioned.has(from) && !this.partitioned.has(to),
 	});
 
 	/** Most calls that an entry has made within a second. */
@@ -86,14 +86,14 @@
 	start(id: string): void {
 		const address = `10.0.0.${id}:1`;
 		const seeds = [...this.entries.values()].slice(0, 3).map(entry => entry.address);
-		const store = reachStore(this.store.open(id), {
+		const store = makeUnreliableStore(this.store.open(id), {
 			onCall: () => {
 				this.countCall(id);
 			},
-			getMs: () => this.storeMs,
-			isLost: () => this.random() < this.lostShare,
+			getRoundTripMs: () => this.storeRoundTripMs,
+			isLost: () => this.random() < this.lostAnswerShare,
 		});
-		const entry = openStoreEntry({
+		const entry = makeSimulatedEntry({
 			id,
 			address,
 			availabilityZone: `zone-${this.entries.size % zones}`,
@@ -102,7 +102,7 @@
 			clock: () => this.now,
 			random: this.random,
 			log: line => {
-				this.lines.push(`${this.now} ${id}: ${line}`);
+				this.logLines.push(`${this.now} ${id}: ${line}`);
 			},
 		});
 		this.entries.set(id, entry);
@@ -145,20 +145,20 @@
 
 	/** A target says that it leaves. */
 	leave(id: string): void {
-		this.left.set(id, this.now);
-		this.write(getKey(id), {...this.writings.get(getKey(id))!.value as Target, isLeaving: true});
+		this.leftAtById.set(id, this.now);
+		this.write(getKey(id), {...this.expectedDocuments.get(getKey(id))!.value as Target, isLeaving: true});
 	}
 
 	/** A target's registration is removed, by itself or since it has been silent. */
 	remove(id: string): void {
-		this.left.set(id, this.left.get(id) ?? this.now);
-		this.writings.delete(getKey(id));
+		this.leftAtById.set(id, this.leftAtById.get(id) ?? this.now);
+		this.expectedDocuments.delete(getKey(id));
 		this.store.remove(getKey(id));
 	}
 
 	/** Nobody writes again what a target has registered; it is not expected to be used. */
-	forget(id: string): void {
-		this.writings.delete(getKey(id));
+	excludeFromRewrite(id: string): void {
+		this.expectedDocuments.delete(getKey(id));
 	}
 
 	/** Has something happen a little later. */
@@ -167,48 +167,48 @@
 	}
 
 	/** Begins to look for targets that are not used though they are registered. */
-	startWatchingUse(): void {
-		this.isWatchingUse = true;
+	startTrackingUse(): void {
+		this.isTrackingUse = true;
 	}
 
 	/** No bound on time holds from now on, until `calm` was called as often. */
-	disturb(): void {
-		this.troubles++;
-		this.calmAt = Number.POSITIVE_INFINITY;
+	suspendDeadlines(): void {
+		this.activeFaults++;
+		this.deadlinesApplyFrom = Number.POSITIVE_INFINITY;
 	}
 
 	/** Bounds on time hold again, from now, unless another trouble lasts. */
-	calm(): void {
-		this.troubles--;
-		this.calmAt = this.troubles === 0 ? this.now : this.calmAt;
+	resumeDeadlines(): void {
+		this.activeFaults--;
+		this.deadlinesApplyFrom = this.activeFaults === 0 ? this.now : this.deadlinesApplyFrom;
 	}
 
 	/** The store goes away and comes back from its copy; later all that it has lost is written again by who wrote it. */
-	async drill({awayMs, rewriteMs, isSilent}: Drill): Promise<void> {
-		this.disturb();
+	async restoreFromBackup({outageMs: awayMs, rewriteDelayMs: rewriteMs, isSilent}: RestoreOptions): Promise<void> {
+		this.suspendDeadlines();
 		if (awayMs > 0) {
 			this.setFault('down');
-			await this.pass(awayMs);
+			await this.advance(awayMs);
 		}
 
 		this.store.goBack(isSilent);
 		this.setFault('none');
-		await this.pass(rewriteMs);
-		this.rewrite();
-		this.calm();
+		await this.advance(rewriteMs);
+		this.rewriteLostKeys();
+		this.resumeDeadlines();
 	}
 
 	/** All that the store does not hold is written again by who wrote it. */
-	rewrite(): void {
-		for (const [key, {value}] of this.writings) {
+	rewriteLostKeys(): void {
+		for (const [key, {value}] of this.expectedDocuments) {
 			if (this.store.read(key) !== JSON.stringify(value)) {
 				this.store.put(key, value);
 			}
 		}
 
 		// Who has left or lapsed takes its registration back, or is silent for too long.
-		for (const id of this.left.keys()) {
-			if (!this.writings.has(getKey(id))) {
+		for (const id of this.leftAtById.keys()) {
+			if (!this.expectedDocuments.has(getKey(id))) {
 				this.store.remove(getKey(id));
 			}
 		}
@@ -222,25 +222,25 @@
 	}
 
 	/** Lets time pass. */
-	async pass(ms: number): Promise<void> {
+	async advance(ms: number): Promise<void> {
 		for (const end = this.now + ms; this.now < end;) {
-			this.now += turnMs;
-			mock.timers.tick(turnMs);
+			this.now += clockStepMs;
+			mock.timers.tick(clockStepMs);
 			await yieldTurn();
-			this.runDue();
+			this.runScheduled();
 			if (this.now % tickMs === 0) {
 				this.store.expire();
 			}
 
 			for (const entry of this.entries.values()) {
-				this.look(entry);
+				this.checkEntry(entry);
 			}
 		}
 	}
 
 	/** Targets that are registered and do not leave. */
 	listStaying(): string[] {
-		return [...this.writings.keys()].filter(key => key.startsWith(getKey(''))).map(key => key.slice(getKey('').length)).filter(id => !this.left.has(id));
+		return [...this.expectedDocuments.keys()].filter(key => key.startsWith(getKey(''))).map(key => key.slice(getKey('').length)).filter(id => !this.leftAtById.has(id));
 	}
 
 	/** Entries that send to a target. */
@@ -263,16 +263,16 @@
 	}
 
 	/* An entry without a configuration in force serves nobody. */
-	private isUsed({path, version}: StoreEntry, id: string): boolean {
+	private isUsed({path, version}: SimulatedEntry, id: string): boolean {
 		return version > 0 && path.book.directory.list('desk').some(target => target.id === id);
 	}
 
 	private write(key: string, value: unknown): void {
-		this.writings.set(key, {value, at: this.now});
+		this.expectedDocuments.set(key, {value, at: this.now});
 		this.store.put(key, value);
 	}
 
-	private runDue(): void {
+	private runScheduled(): void {
 		const due = this.scheduled.filter(({at}) => at <= this.now);
 		this.scheduled = this.scheduled.filter(({at}) => at > this.now);
 		for (const {run} of due) {
@@ -280,7 +280,7 @@
 		}
 	}
 
-	private look(entry: StoreEntry): void {
+	private checkEntry(entry: SimulatedEntry): void {
 		if (this.now % tickMs === 0) {
 			entry.state.tick(this.now);
 			entry.path.tick();
@@ -290,10 +290,10 @@
 		this.checkTargets(entry);
 	}
 
-	private checkConfiguration(entry: StoreEntry): void {
+	private checkConfiguration(entry: SimulatedEntry): void {
 		const version = entry.state.getTable(this.now)?.version ?? 0;
 		if (version < entry.version) {
-			this.report(`entry ${entry.id} went from configuration ${entry.version} to ${version}`);
+			this.reportViolation(`entry ${entry.id} went from configuration ${entry.version} to ${version}`);
 		}
 
 		entry.version = version;
@@ -301,48 +301,48 @@
 			entry.servedVersions.add(version);
 		}
 
-		const since = Math.max(this.configuredAt, this.calmAt, entry.startedAt);
-		if (version < this.version && this.now - since > applyMs && !this.isApart(entry)) {
-			this.report(`entry ${entry.id} has configuration ${version}, ${this.version} was accepted ${this.now - since} ms before`);
+		const since = Math.max(this.configuredAt, this.deadlinesApplyFrom, entry.startedAt);
+		if (version < this.version && this.now - since > configurationDeadlineMs && !this.isIsolated(entry)) {
+			this.reportViolation(`entry ${entry.id} has configuration ${version}, ${this.version} was accepted ${this.now - since} ms before`);
 		}
 	}
 
-	private checkTargets(entry: StoreEntry): void {
-		for (const [id, leftAt] of this.left) {
+	private checkTargets(entry: SimulatedEntry): void {
+		for (const [id, leftAt] of this.leftAtById) {
 			const isUsed = this.isUsed(entry, id);
 			if (isUsed && entry.dropped.has(id)) {
-				this.report(`entry ${entry.id} sends to ${id} again, which has left`);
+				this.reportViolation(`entry ${entry.id} sends to ${id} again, which has left`);
 			}
 
 			// What was said while the store was in trouble may be known to no entry: it is over when nobody writes it again.
-			const boundMs = leftAt < this.calmAt ? settleMs : drainMs;
-			if (isUsed && this.now - Math.max(leftAt, this.calmAt, entry.startedAt) > boundMs && !this.isApart(entry)) {
-				this.report(`entry ${entry.id} sends to ${id}, which left ${this.now - leftAt} ms before`);
+			const boundMs = leftAt < this.deadlinesApplyFrom ? settleDeadlineMs : drainDeadlineMs;
+			if (isUsed && this.now - Math.max(leftAt, this.deadlinesApplyFrom, entry.startedAt) > boundMs && !this.isIsolated(entry)) {
+				this.reportViolation(`entry ${entry.id} sends to ${id}, which left ${this.now - leftAt} ms before`);
 			}
 
 			if (isUsed) {
 				entry.usedAfterLeave.add(id);
-			} else if (entry.version > 0 && (entry.used.has(id) || entry.usedAfterLeave.has(id) || this.now - leftAt > drainMs)) {
+			} else if (entry.version > 0 && (entry.used.has(id) || entry.usedAfterLeave.has(id) || this.now - leftAt > drainDeadlineMs)) {
 				entry.dropped.add(id);
 			}
 		}
 
-		for (const [key, {at}] of this.writings) {
+		for (const [key, {at}] of this.expectedDocuments) {
 			const id = key.slice(getKey('').length);
-			const since = Math.max(at, this.calmAt, entry.startedAt);
-			const isExpected = key.startsWith(getKey('')) && !this.left.has(id) && this.now - since > settleMs && !this.isApart(entry);
+			const since = Math.max(at, this.deadlinesApplyFrom, entry.startedAt);
+			const isExpected = key.startsWith(getKey('')) && !this.leftAtById.has(id) && this.now - since > settleDeadlineMs && !this.isIsolated(entry);
 			if (isExpected && !this.isUsed(entry, id)) {
-				this.report(`entry ${entry.id} does not send to ${id}, which has been registered for ${this.now - at} ms`);
+				this.reportViolation(`entry ${entry.id} does not send to ${id}, which has been registered for ${this.now - at} ms`);
 			}
 		}
 
-		this.noteUse(entry);
+		this.trackUse(entry);
 	}
 
-	private noteUse(entry: StoreEntry): void {
+	private trackUse(entry: SimulatedEntry): void {
 		const used = new Set(entry.path.book.directory.list('desk').map(({id}) => id));
 		for (const id of entry.used) {
-			if (this.isWatchingUse && !used.has(id) && this.writings.has(getKey(id)) && !this.left.has(id)) {
+			if (this.isTrackingUse && !used.has(id) && this.expectedDocuments.has(getKey(id)) && !this.leftAtById.has(id)) {
 				this.unused.add(`${id} at ${entry.id}`);
 			}
 		}
@@ -351,14 +351,14 @@
 	}
 
 	/* Whether an entry reaches neither the others nor the store. */
-	private isApart({id, address}: StoreEntry): boolean {
-		return this.cutOff.has(address) && this.withoutStore.has(id);
+	private isIsolated({id, address}: SimulatedEntry): boolean {
+		return this.partitioned.has(address) && this.withoutStore.has(id);
 	}
 
 	/* The first of each kind is enough. */
-	private report(fault: string): void {
-		if (this.faults.length < 5) {
-			this.faults.push(`${this.now} ms: ${fault}`);
+	private reportViolation(fault: string): void {
+		if (this.violations.length < 5) {
+			this.violations.push(`${this.now} ms: ${fault}`);
 		}
 	}
 
--- a/src/entry/entry-controller.ts
+++ b/src/entry/entry-controller.ts
@@ -103,7 +103,7 @@
 			return;
 		}
 
-		for (const vm of membership.pickPeers(now)) {
+		for (const vm of membership.pickHeartbeatPeers(now)) {
 			peers.send(vm, wish);
 		}
 	}
@@ -204,7 +204,7 @@
 		if (now >= this.nextHeartbeatAt) {
 			this.nextHeartbeatAt = now + heartbeatMs;
 			const heartbeat = this.makeHeartbeat();
-			for (const vm of membership.pickNext(now)) {
+			for (const vm of membership.pickHeartbeatReceivers(now)) {
 				peers.send(vm, heartbeat);
 			}
 		}
@@ -234,7 +234,7 @@
 	private hear(heartbeat: MessageOf<'heartbeat'>, send: Send, now: number): void {
 		const {membership, table} = this.options;
 		this.hasHeardPeer = true;
-		membership.hear(heartbeat, now);
+		membership.receiveHeartbeat(heartbeat, now);
 		const wish = table.noteVersion(heartbeat.tableVersion, heartbeat.changeId, now);
 		if (wish) {
 			send(wish);
--- a/src/entry/start-entry.ts
+++ b/src/entry/start-entry.ts
@@ -109,7 +109,7 @@
 			const vm = membership.getVm(home);
 			return vm !== undefined && peers.send(vm, message);
 		},
-		getVisibleShare: () => membership.getVisibleShare(clock()),
+		getVisibleShare: () => membership.getReachableZoneShare(clock()),
 		countEntries: () => membership.listLive(clock()).length,
 	});
 	const groups = new GroupPlanners({
--- a/src/expert-balance/rank-process.ts
+++ b/src/expert-balance/rank-process.ts
@@ -3,7 +3,7 @@
 import {type Registry} from '../key-value/registry.js';
 import {type LinkConnection} from '../link/link-connection.js';
 import {StoreView} from '../view/store-view.js';
-import {unguarded} from '../view/unguarded.js';
+import {unorderedItems} from '../view/unordered-items.js';
 import {type BalanceSettings} from './balance-settings.js';
 import {getOfficeKey} from './get-office-key.js';
 import {GroupPublication} from './group-publication.js';
@@ -128,9 +128,9 @@
 		const view: StoreView = new StoreView({
 			...this.options,
 			prefix: key,
-			guard: unguarded,
+			comparator: unorderedItems,
 			waitMs: viewWaitMs,
-			longestPauseMs,
+			maximumBackoffMs: longestPauseMs,
 			onChange: () => {
 				const known = view.get(key);
 				if (known && this.office?.view === view) {
@@ -219,7 +219,7 @@
 		const isStuck = heldSince !== undefined && now - heldSince > stuckMs;
 		this.planner.follow(view.get(key)?.value, now);
 		view.tick(now);
-		void election.tick(now, view.isKnown ? {era: view.asOf.era, holder: view.get(key), stored: view.getStored(key)} : undefined, isStuck);
+		void election.tick(now, view.isLoaded ? {era: view.asOf.era, holder: view.get(key), stored: view.getStored(key)} : undefined, isStuck);
 		this.desk.tick(election.term === undefined ? undefined : {term: election.term, group}, now);
 		if (election.term !== undefined) {
 			publication.tick(this.desk.getListing(now), view.asOf.era, now);
--- a/src/fleet/group-index.ts
+++ b/src/fleet/group-index.ts
@@ -34,10 +34,10 @@
 			}
 		}
 
-		const formed = [...epochs].filter(([name, epoch]) => epoch !== (this.epochs.get(name) ?? epoch)).map(([name]) => name);
+		const reformed = [...epochs].filter(([name, epoch]) => epoch !== (this.epochs.get(name) ?? epoch)).map(([name]) => name);
 		this.groups = groups;
 		this.epochs = epochs;
-		return formed;
+		return reformed;
 	}
 
 	/** Name of the group that the engine at an address belongs to within its service; undefined when none is known. */
--- a/src/fleet/target-directory.ts
+++ b/src/fleet/target-directory.ts
@@ -1,8 +1,8 @@
 import {type Target} from './target.js';
 
-type Entry = {target: Target; lostAt: number | undefined; isGone: boolean};
+type TargetRecord = {target: Target; missingSince: number | undefined; isGone: boolean};
 /** One life of a target that leaves, and since when it is not registered. */
-type Leave = {readonly bornAt: number | undefined; unregisteredAt: number | undefined};
+type Departure = {readonly bornAt: number | undefined; unregisteredAt: number | undefined};
 
 /**
  * After the store was away, registrations that lapsed meanwhile come back within about two seconds (the platform's
@@ -10,26 +10,26 @@
  * target that has left on purpose cannot be told from those, and may be sent nothing two seconds after it said so: the
  * rest is for the next look at the directory (each 100 ms) and for the way of a request that was sent just before.
  */
-const returnGraceMs = 1700;
+const reregistrationGraceMs = 1700;
 
 /**
  * That a target leaves counts for so long after its registration has gone, milliseconds: one that lapsed while the store was away, or
  * that an older copy of the store holds, may still come back as if it had never left.
  */
-const leaveMemoryMs = 60_000;
+const departureRetentionMs = 60_000;
 
 /**
  * Peers are told for so long after its registration has gone, milliseconds: one that missed the leaving while the store was away may
  * take the target for one that registers again.
  */
-const leaveToldMs = 5000;
+const departureAnnouncementMs = 5000;
 
-const isLaterLife = ({bornAt}: Target, than: Target): boolean => bornAt !== undefined && bornAt > (than.bornAt ?? Number.NEGATIVE_INFINITY);
+const isLaterIncarnation = ({bornAt}: Target, than: Target): boolean => bornAt !== undefined && bornAt > (than.bornAt ?? Number.NEGATIVE_INFINITY);
 
 /** The registered targets of all services. */
 export class TargetDirectory {
-	private readonly entries = new Map<string, Entry>();
-	private readonly leaves = new Map<string, Leave>();
+	private readonly records = new Map<string, TargetRecord>();
+	private readonly departures = new Map<string, Departure>();
 	private byService = new Map<string, Target[]>();
 
 	/**
@@ -37,29 +37,29 @@
 	 *
 	 * @param targets - every target registered now, the one written last at the end
 	 * @param now - the present, milliseconds
-	 * @param isStoreBack - whether the store has just returned from an outage, so that lapsed registrations may come back
+	 * @param isStoreRecovering - whether the store has just returned from an outage, so that lapsed registrations may come back
 	 * @returns targets that may no longer be sent anything, and those that have started again under their ids
 	 */
-	replace(targets: readonly Target[], now: number, isStoreBack: boolean): {readonly gone: Target[]; readonly renewed: Target[]} {
+	replace(targets: readonly Target[], now: number, isStoreRecovering: boolean): {readonly gone: Target[]; readonly renewed: Target[]} {
 		const registered = new Set(targets.map(({id}) => id));
 		const renewed: Target[] = [];
 		for (const target of targets) {
-			const known = this.entries.get(target.id);
-			const isRenewed = known !== undefined && isLaterLife(target, known.target);
-			if (isRenewed) {
-				this.leaves.delete(target.id);
+			const known = this.records.get(target.id);
+			const isRestarted = known !== undefined && isLaterIncarnation(target, known.target);
+			if (isRestarted) {
+				this.departures.delete(target.id);
 				renewed.push(target);
 			}
 
 			// A life that is gone stays so, however long its registration lingers.
-			const isGone = known !== undefined && known.isGone && !isRenewed;
-			const isFormerLife = known !== undefined && isLaterLife(known.target, target);
-			this.entries.set(target.id, {target: isFormerLife ? known.target : target, lostAt: undefined, isGone});
+			const isGone = known !== undefined && known.isGone && !isRestarted;
+			const isFormerLife = known !== undefined && isLaterIncarnation(known.target, target);
+			this.records.set(target.id, {target: isFormerLife ? known.target : target, missingSince: undefined, isGone});
 		}
 
-		for (const [id, entry] of this.entries) {
+		for (const [id, entry] of this.records) {
 			if (!registered.has(id)) {
-				entry.lostAt ??= isStoreBack ? now : Number.NEGATIVE_INFINITY;
+				entry.missingSince ??= isStoreRecovering ? now : Number.NEGATIVE_INFINITY;
 			}
 		}
 
@@ -67,11 +67,11 @@
 	}
 
 	/** Drops a life of a target that is known to be gone, whatever its registration says. */
-	drop({id, bornAt}: Target): void {
-		const entry = this.entries.get(id);
+	markGone({id, bornAt}: Target): void {
+		const entry = this.records.get(id);
 		if (entry && entry.target.bornAt === bornAt) {
 			entry.isGone = true;
-			this.index();
+			this.updateIndex();
 		}
 	}
 
@@ -80,36 +80,36 @@
 	 *
 	 * @returns whether that was not known yet
 	 */
-	noteLeave({id, bornAt}: Pick<Target, 'id' | 'bornAt'>, now: number): boolean {
-		const known = this.entries.get(id)?.target;
+	noteDeparture({id, bornAt}: Pick<Target, 'id' | 'bornAt'>, now: number): boolean {
+		const known = this.records.get(id)?.target;
 		const isFormerLife = known !== undefined && known.bornAt !== bornAt;
-		if (isFormerLife || this.hasTakenLeave({id, bornAt})) {
+		if (isFormerLife || this.hasLeft({id, bornAt})) {
 			return false;
 		}
 
-		this.leaves.set(id, {bornAt, unregisteredAt: known ? undefined : now});
-		this.index();
+		this.departures.set(id, {bornAt, unregisteredAt: known ? undefined : now});
+		this.updateIndex();
 		return true;
 	}
 
 	/** Lives of targets that leave, for peers: those that are registered, or were lately. */
-	listLeaves(now: number): Array<Pick<Target, 'id' | 'bornAt'>> {
-		const isTold = ({unregisteredAt}: Leave): boolean => unregisteredAt === undefined || now - unregisteredAt <= leaveToldMs;
-		return [...this.leaves].filter(([, leave]) => isTold(leave)).map(([id, {bornAt}]) => ({id, ...(bornAt !== undefined && {bornAt})}));
+	listDepartures(now: number): Array<Pick<Target, 'id' | 'bornAt'>> {
+		const isAnnounced = ({unregisteredAt}: Departure): boolean => unregisteredAt === undefined || now - unregisteredAt <= departureAnnouncementMs;
+		return [...this.departures].filter(([, leave]) => isAnnounced(leave)).map(([id, {bornAt}]) => ({id, ...(bornAt !== undefined && {bornAt})}));
 	}
 
 	/** Drops targets whose registration did not come back in time; gives those. */
 	expire(now: number): Target[] {
 		const gone: Target[] = [];
-		for (const [id, {target, lostAt}] of this.entries) {
-			if (lostAt !== undefined && now - lostAt >= returnGraceMs) {
-				this.entries.delete(id);
+		for (const [id, {target, missingSince: lostAt}] of this.records) {
+			if (lostAt !== undefined && now - lostAt >= reregistrationGraceMs) {
+				this.records.delete(id);
 				gone.push(target);
 			}
 		}
 
-		this.forgetLeaves(now);
-		this.index();
+		this.pruneDepartures(now);
+		this.updateIndex();
 		return gone;
 	}
 
@@ -119,19 +119,19 @@
 	}
 
 	get(id: string): Target | undefined {
-		return this.entries.get(id)?.target;
+		return this.records.get(id)?.target;
 	}
 
-	private hasTakenLeave({id, bornAt}: Pick<Target, 'id' | 'bornAt'>): boolean {
-		const leave = this.leaves.get(id);
+	private hasLeft({id, bornAt}: Pick<Target, 'id' | 'bornAt'>): boolean {
+		const leave = this.departures.get(id);
 		return leave !== undefined && leave.bornAt === bornAt;
 	}
 
-	private forgetLeaves(now: number): void {
-		for (const [id, leave] of this.leaves) {
-			leave.unregisteredAt = this.entries.has(id) ? undefined : leave.unregisteredAt ?? now;
-			if (leave.unregisteredAt !== undefined && now - leave.unregisteredAt > leaveMemoryMs) {
-				this.leaves.delete(id);
+	private pruneDepartures(now: number): void {
+		for (const [id, leave] of this.departures) {
+			leave.unregisteredAt = this.records.has(id) ? undefined : leave.unregisteredAt ?? now;
+			if (leave.unregisteredAt !== undefined && now - leave.unregisteredAt > departureRetentionMs) {
+				this.departures.delete(id);
 			}
 		}
 	}
@@ -140,17 +140,17 @@
 	 * A target that restarts at its address, or another that is given it, registers before the registration of the one
 	 * before has lapsed: of several at one address the last that is not known to be gone counts.
 	 */
-	private index(): void {
-		const holders = new Map<string, Target>();
-		for (const {target, isGone} of this.entries.values()) {
+	private updateIndex(): void {
+		const byAddress = new Map<string, Target>();
+		for (const {target, isGone} of this.records.values()) {
 			if (!isGone) {
-				holders.set(`${target.address}:${target.port}`, target);
+				byAddress.set(`${target.address}:${target.port}`, target);
 			}
 		}
 
 		this.byService = new Map();
-		for (const target of holders.values()) {
-			if (!target.isLeaving && !this.hasTakenLeave(target)) {
+		for (const target of byAddress.values()) {
+			if (!target.isLeaving && !this.hasLeft(target)) {
 				const targets = this.byService.get(target.service) ?? [];
 				targets.push(target);
 				this.byService.set(target.service, targets);
--- a/src/forward/fleet-state.ts
+++ b/src/forward/fleet-state.ts
@@ -48,7 +48,7 @@
 
 	/** Notes that a life of a target leaves: by its registration, its own answer, or what a peer has heard; true when that was not known. */
 	noteLeave(target: Pick<Target, 'id' | 'bornAt'>, source: string, now: number): boolean {
-		const isNew = this.options.directory.noteLeave(target, now);
+		const isNew = this.options.directory.noteDeparture(target, now);
 		if (isNew) {
 			this.options.log(`target ${target.id} is leaving: ${source}`);
 			this.options.onLeave(target.id);
@@ -119,7 +119,7 @@
 	private refreshTargets(now: number): void {
 		const {view, directory, log, onLeave, onRenew} = this.options;
 		const targets = this.readTargets();
-		const {gone, renewed} = directory.replace(targets, now, view.isReturning(now));
+		const {gone, renewed} = directory.replace(targets, now, view.isRecovering(now));
 		for (const {id} of gone) {
 			log(`target ${id} is gone: its registration was removed`);
 			onLeave(id);
--- a/src/forward/forward-dispatcher.ts
+++ b/src/forward/forward-dispatcher.ts
@@ -1,5 +1,5 @@
 import {ok, type Result} from 'neverthrow';
-import {getUnit} from '../fleet/get-unit.js';
+import {getFailureDomain} from '../fleet/get-failure-domain.js';
 import {type Target} from '../fleet/target.js';
 import {type Problem} from '../requests/problem.js';
 import {type Answer} from './answer.js';
@@ -177,10 +177,10 @@
 	private noteCause({cause, wasSent}: Extract<SendOutcome, {kind: 'not-run'}>, target: Target, isOver: boolean, now: number): void {
 		const {gate, book: {directory, health}} = this.options;
 		if (cause === 'group-down') {
-			gate.close(getUnit(target), now, `target ${target.id} refuses since its group has stopped`);
+			gate.close(getFailureDomain(target), now, `target ${target.id} refuses since its group has stopped`);
 		} else if (cause === 'gone') {
-			directory.drop(target);
-			gate.excuse(getUnit(target), now);
+			directory.markGone(target);
+			gate.excuse(getFailureDomain(target), now);
 		} else if (!wasSent && !isOver) {
 			health.avoid(target.id, now);
 		}
--- a/src/forward/make-entry-state.ts
+++ b/src/forward/make-entry-state.ts
@@ -64,9 +64,9 @@
 	const view: StoreView = new StoreView({
 		...options,
 		prefix: '',
-		guard: makeItemGuard(options.source),
+		comparator: makeItemGuard(options.source),
 		waitMs: viewWaitMs,
-		longestPauseMs,
+		maximumBackoffMs: longestPauseMs,
 		log: log.view,
 		onChange(now) {
 			fleet.refresh(now);
@@ -111,7 +111,7 @@
 			mesh.tick();
 			view.tick(now);
 			fleet.tick(now);
-			void registration.tick(now, view.isKnown ? {era: view.asOf.era, item: view.getStored(key)} : undefined);
+			void registration.tick(now, view.isLoaded ? {era: view.asOf.era, item: view.getStored(key)} : undefined);
 		},
 		close() {
 			view.close();
--- a/src/forward/make-forward-path.ts
+++ b/src/forward/make-forward-path.ts
@@ -4,7 +4,7 @@
 import {ServiceGate} from '../balance/service-gate.js';
 import {type ForwardEntrySettings} from '../config/forward-entry-settings.js';
 import {type Service} from '../fleet/service.js';
-import {getUnit} from '../fleet/get-unit.js';
+import {getFailureDomain} from '../fleet/get-failure-domain.js';
 import {type EntryDigest} from '../mesh/entry-digest.js';
 import {rankByRendezvous} from '../routing/rank-by-rendezvous.js';
 import {CrashWatch} from './crash-watch.js';
@@ -84,7 +84,7 @@
 		onProgress(target) {
 			const now = clock();
 			board.progress(target.id, now);
-			gate.open(getUnit(target), now);
+			gate.open(getFailureDomain(target), now);
 		},
 		onGap(target, gapMs) {
 			admission.noteGap(target, gapMs);
--- a/src/forward/make-item-guard.ts
+++ b/src/forward/make-item-guard.ts
@@ -1,10 +1,10 @@
 import {type Target} from '../fleet/target.js';
 import {type StoredValue} from '../key-value/stored-value.js';
-import {type ItemGuard} from '../view/item-guard.js';
+import {type ItemComparator} from '../view/item-comparator.js';
 import {type FleetSource} from './fleet-source.js';
 
 /** Tells which of two items is to be believed, by what they say: versions of the configuration only rise, a life of a target that leaves does not come back. */
-export function makeItemGuard(source: FleetSource): ItemGuard {
+export function makeItemGuard(source: FleetSource): ItemComparator {
 	const readVersion = (item: StoredValue): number | undefined => {
 		try {
 			return source.readConfiguration({get: () => item})?.version;
@@ -48,7 +48,7 @@
 				}
 			}
 		},
-		isSame(removed, offered) {
+		isSameIncarnation(removed, offered) {
 			const before = source.getKind(removed.key) === 'target' ? readTarget(removed) : undefined;
 			const after = readTarget(offered);
 			return before !== undefined && after !== undefined && (after.bornAt ?? Number.NEGATIVE_INFINITY) <= (before.bornAt ?? Number.NEGATIVE_INFINITY);
--- a/src/forward/stall-watch.ts
+++ b/src/forward/stall-watch.ts
@@ -1,6 +1,6 @@
 import {type LoadBoard} from '../balance/load-board.js';
 import {type TargetHealth} from '../balance/target-health.js';
-import {getUnit} from '../fleet/get-unit.js';
+import {getFailureDomain} from '../fleet/get-failure-domain.js';
 import {type Target} from '../fleet/target.js';
 
 type WatchOptions = {
@@ -90,7 +90,7 @@
 		const now = this.options.clock();
 		const {target, progressAt} = watched;
 		if (progressAt !== undefined) {
-			const unit = getUnit(target);
+			const unit = getFailureDomain(target);
 			const usualMs = this.gaps.get(unit) ?? 0;
 			this.gaps.set(unit, usualMs + (((now - progressAt) - usualMs) * newestWeight));
 		}
@@ -122,7 +122,7 @@
 		const units = new Map<string, number[]>();
 		for (const {target, progressAt, isHeldUp} of this.watched) {
 			if (progressAt !== undefined && !isHeldUp()) {
-				const unit = getUnit(target);
+				const unit = getFailureDomain(target);
 				units.set(unit, [...units.get(unit) ?? [], progressAt]);
 			}
 		}
--- a/src/forward/stream-admission.ts
+++ b/src/forward/stream-admission.ts
@@ -3,7 +3,7 @@
 import {PauseForecast} from '../decisions/pause-forecast.js';
 import {type Route} from '../fleet/route.js';
 import {type Service} from '../fleet/service.js';
-import {getUnit} from '../fleet/get-unit.js';
+import {getFailureDomain} from '../fleet/get-failure-domain.js';
 import {type Target} from '../fleet/target.js';
 
 type AdmissionOptions = {
@@ -24,7 +24,7 @@
 const groupByUnit = (targets: readonly Target[]): Map<string, Target[]> => {
 	const units = new Map<string, Target[]>();
 	for (const target of targets) {
-		const unit = getUnit(target);
+		const unit = getFailureDomain(target);
 		const members = units.get(unit) ?? [];
 		members.push(target);
 		units.set(unit, members);
@@ -45,7 +45,7 @@
 
 	/** Notes the time between two events of a stream, milliseconds. */
 	noteGap(target: Target, gapMs: number): void {
-		const unit = getUnit(target);
+		const unit = getFailureDomain(target);
 		const gaps = this.gaps.get(unit) ?? {count: 0, sumMs: 0, service: target.service};
 		gaps.count++;
 		gaps.sumMs += gapMs;
--- a/src/forward/target-book.ts
+++ b/src/forward/target-book.ts
@@ -104,7 +104,7 @@
 	/** What peers are told. */
 	getDigest(now: number): EntryDigest {
 		const {refusing, recovered} = this.refusals.getDigest(now);
-		const leaves = this.directory.listLeaves(now);
+		const leaves = this.directory.listDepartures(now);
 		const limits = this.limits.getDigest(now);
 		return {
 			...(refusing.length > 0 && {refusing: [...refusing]}),
--- a/src/forward/target-picker.ts
+++ b/src/forward/target-picker.ts
@@ -3,7 +3,7 @@
 import {type ProbeBudget} from '../balance/probe-budget.js';
 import {type RepeatBudget} from '../balance/repeat-budget.js';
 import {type ServiceGate} from '../balance/service-gate.js';
-import {getUnit} from '../fleet/get-unit.js';
+import {getFailureDomain} from '../fleet/get-failure-domain.js';
 import {type Target} from '../fleet/target.js';
 import {type CrashWatch} from './crash-watch.js';
 import {describeShutTargets} from './describe-shut-targets.js';
@@ -49,7 +49,7 @@
 			}
 
 			exchange.note(`no permit for ${target.id}, which takes ${book.limits.get(target.id)} a second`);
-			gate.excuse(getUnit(target), clock());
+			gate.excuse(getFailureDomain(target), clock());
 		}
 
 		return this.choose(exchange, progress, false);
@@ -151,13 +151,13 @@
 	private listRunning(service: string, now: number): readonly Target[] | undefined {
 		const {book, gate} = this.options;
 		const registered = book.listOpen(service, now);
-		const units = [...new Set(registered.map(target => getUnit(target)))];
+		const units = [...new Set(registered.map(target => getFailureDomain(target)))];
 		const running = units.filter(unit => !gate.isAvoided(unit, now));
 		if (units.length > 1 && running.length > 0) {
-			return registered.filter(target => running.includes(getUnit(target)));
+			return registered.filter(target => running.includes(getFailureDomain(target)));
 		}
 
 		const probed = units.length === 0 ? service : units.find(unit => gate.admit(unit, now));
-		return probed === undefined ? undefined : registered.filter(target => units.length < 2 || getUnit(target) === probed);
+		return probed === undefined ? undefined : registered.filter(target => units.length < 2 || getFailureDomain(target) === probed);
 	}
 }
--- a/src/key-value/change-feed.ts
+++ b/src/key-value/change-feed.ts
@@ -4,10 +4,10 @@
 import {type StoredValue} from './stored-value.js';
 
 /** What one wait for changes brought, and the revision to go on from. */
-type Page = {readonly kind: 'changes'; readonly era: number; readonly asOf: number; readonly changes: ReadonlyArray<StoredValue | RemovedKey>};
+type ChangePage = {readonly kind: 'changes'; readonly era: number; readonly asOf: number; readonly changes: ReadonlyArray<StoredValue | RemovedKey>};
 /** The service no longer has the history asked for. */
-type Forgotten = {readonly kind: 'forgotten'; readonly era: number};
-type Changes = Page | Forgotten;
+type LostHistory = {readonly kind: 'forgotten'; readonly era: number};
+type Changes = ChangePage | LostHistory;
 
 /** All keys under a prefix, and the service's revision when the reading began. */
 type Listing = {readonly era: number; readonly asOf: number; readonly items: readonly StoredValue[]};
--- a/src/membership/membership.ts
+++ b/src/membership/membership.ts
@@ -4,8 +4,8 @@
 import {type PeerState} from './peer-state.js';
 
 type Heartbeat = MessageOf<'heartbeat'>;
-type Rumour = Heartbeat['peers'][number];
-type Member = {vm: Vm; incarnation: string; counter: number; heardAt: number | undefined; listedAt: number; isListed: boolean};
+type PeerCounter = Heartbeat['peers'][number];
+type Member = {vm: Vm; incarnation: string; counter: number; lastHeartbeatAt: number | undefined; listedAt: number; isListed: boolean};
 
 type MembershipOptions = {
 	readonly id: string;
@@ -14,15 +14,15 @@
 };
 
 /** Silence after which an entry is suspect, and dead, while there are few of them. */
-const suspectMs = 6000;
-const deadMs = 15_000;
+const suspectAfterMs = 6000;
+const deadAfterMs = 15_000;
 /** Entries up to which these times hold; news of each gets rarer in proportion beyond. */
-const promptMembers = 16;
+const unscaledMembers = 16;
 /** Members whose counters one heartbeat carries. */
-const rumours = 4;
+const maximumCounters = 4;
 /** Peers in the own zone, and in each other zone, that heartbeats go to. */
-const localPeers = 3;
-const remotePeers = 1;
+const localPeerCount = 3;
+const remotePeerCount = 1;
 
 /**
  * The entries as one entry sees them. The platform's list says who may exist; heartbeats say who lives, either
@@ -33,7 +33,7 @@
 export class Membership {
 	private readonly members = new Map<string, Member>();
 	private counter = 0;
-	private turn = 0;
+	private round = 0;
 
 	constructor(private readonly options: MembershipOptions) {}
 
@@ -54,7 +54,7 @@
 				member.isListed = true;
 			} else {
 				this.members.set(vm.id, {
-					vm, incarnation: '', counter: 0, heardAt: undefined, listedAt: now, isListed: true,
+					vm, incarnation: '', counter: 0, lastHeartbeatAt: undefined, listedAt: now, isListed: true,
 				});
 			}
 		}
@@ -67,27 +67,27 @@
 	}
 
 	/** Takes a heartbeat and what it passes on. */
-	hear(heartbeat: Heartbeat, now: number): void {
-		this.note(heartbeat, now);
-		for (const rumour of heartbeat.peers) {
-			this.note(rumour, now);
+	receiveHeartbeat(heartbeat: Heartbeat, now: number): void {
+		this.noteCounter(heartbeat, now);
+		for (const peerCounter of heartbeat.peers) {
+			this.noteCounter(peerCounter, now);
 		}
 	}
 
 	/** The state of another entry at `now` (milliseconds since the epoch). */
 	getState(id: string, now: number): PeerState {
-		const heardAt = this.members.get(id)?.heardAt;
+		const heardAt = this.members.get(id)?.lastHeartbeatAt;
 		if (heardAt === undefined) {
 			return 'unheard';
 		}
 
 		const silenceMs = now - heardAt;
-		const slowness = Math.max(1, this.members.size / promptMembers);
-		if (silenceMs < suspectMs * slowness) {
+		const timeoutScale = Math.max(1, this.members.size / unscaledMembers);
+		if (silenceMs < suspectAfterMs * timeoutScale) {
 			return 'live';
 		}
 
-		return silenceMs < deadMs * slowness ? 'suspect' : 'dead';
+		return silenceMs < deadAfterMs * timeoutScale ? 'suspect' : 'dead';
 	}
 
 	/** Where another entry is; undefined when it is not known. */
@@ -103,35 +103,35 @@
 	/** Ids of the entries that are heard or were just listed, this one included; in one zone if given. */
 	listLive(now: number, availabilityZone?: string): string[] {
 		const live = [...this.members]
-			.filter(([id, {vm}]) => (availabilityZone === undefined || vm.availabilityZone === availabilityZone) && this.isHeard(id, now))
+			.filter(([id, {vm}]) => (availabilityZone === undefined || vm.availabilityZone === availabilityZone) && this.isPresumedLive(id, now))
 			.map(([id]) => id);
 		const isOwnZone = availabilityZone === undefined || availabilityZone === this.options.availabilityZone;
 		return isOwnZone ? [...live, this.options.id] : live;
 	}
 
 	/** Share of the known availability zones from which an entry is heard, 1 when none is cut off. */
-	getVisibleShare(now: number): number {
+	getReachableZoneShare(now: number): number {
 		const known = new Set([this.options.availabilityZone]);
-		const visible = new Set([this.options.availabilityZone]);
+		const reachable = new Set([this.options.availabilityZone]);
 		for (const [id, {vm}] of this.members) {
 			known.add(vm.availabilityZone);
-			if (this.isHeard(id, now)) {
-				visible.add(vm.availabilityZone);
+			if (this.isPresumedLive(id, now)) {
+				reachable.add(vm.availabilityZone);
 			}
 		}
 
-		return visible.size / known.size;
+		return reachable.size / known.size;
 	}
 
 	/** The peers that this entry sends heartbeats to: a few of its zone and one of each other zone. */
-	pickPeers(now: number): Vm[] {
+	pickHeartbeatPeers(now: number): Vm[] {
 		const byZone = new Map<string, Vm[]>();
 		for (const {vm} of this.members.values()) {
 			byZone.set(vm.availabilityZone, [...(byZone.get(vm.availabilityZone) ?? []), vm]);
 		}
 
 		return [...byZone].flatMap(([zone, vms]) => {
-			const count = zone === this.options.availabilityZone ? localPeers : remotePeers;
+			const count = zone === this.options.availabilityZone ? localPeerCount : remotePeerCount;
 			const byId = new Map(vms.map(vm => [vm.id, vm]));
 			const ranked = rankByRendezvous(this.options.id, [...byId.keys()]);
 			const live = ranked.filter(id => this.getState(id, now) !== 'dead');
@@ -141,21 +141,21 @@
 	}
 
 	/** Whom the next heartbeat goes to: one peer of the zone and one of the others, each in turn. */
-	pickNext(now: number): Vm[] {
-		this.turn++;
-		const peers = this.pickPeers(now);
+	pickHeartbeatReceivers(now: number): Vm[] {
+		this.round++;
+		const peers = this.pickHeartbeatPeers(now);
 		const local = peers.filter(vm => vm.availabilityZone === this.options.availabilityZone);
 		const remote = peers.filter(vm => vm.availabilityZone !== this.options.availabilityZone);
-		return [local, remote].filter(({length}) => length > 0).map(list => list[this.turn % list.length]);
+		return [local, remote].filter(({length}) => length > 0).map(list => list[this.round % list.length]);
 	}
 
 	/** Makes the next heartbeat; `random` picks whom it passes on. */
 	makeHeartbeat(table: {readonly tableVersion: number; readonly changeId: string}, random: () => number, now: number): Heartbeat {
 		this.counter++;
-		const heard = [...this.members].filter(([id]) => this.getState(id, now) === 'live');
-		const start = Math.floor(random() * heard.length);
-		const peers: Rumour[] = Array.from({length: Math.min(rumours, heard.length)}, (_, index) => {
-			const [id, {incarnation, counter}] = heard[(start + index) % heard.length];
+		const live = [...this.members].filter(([id]) => this.getState(id, now) === 'live');
+		const start = Math.floor(random() * live.length);
+		const peers: PeerCounter[] = Array.from({length: Math.min(maximumCounters, live.length)}, (_, index) => {
+			const [id, {incarnation, counter}] = live[(start + index) % live.length];
 			return {id, incarnation, counter};
 		});
 		return {
@@ -163,15 +163,15 @@
 		};
 	}
 
-	private isHeard(id: string, now: number): boolean {
+	private isPresumedLive(id: string, now: number): boolean {
 		const state = this.getState(id, now);
 		// An entry that starts has heard nobody yet: it must not take itself for the only one.
-		const isNew = state === 'unheard' && now - this.members.get(id)!.listedAt < deadMs;
+		const isNew = state === 'unheard' && now - this.members.get(id)!.listedAt < deadAfterMs;
 		return isNew || state === 'live' || state === 'suspect';
 	}
 
 	/* Incarnations begin with their time of start, so that the later one is the greater. */
-	private note({id, incarnation, counter}: Rumour, now: number): void {
+	private noteCounter({id, incarnation, counter}: PeerCounter, now: number): void {
 		const member = this.members.get(id);
 		if (!member || incarnation < member.incarnation) {
 			return;
@@ -180,7 +180,7 @@
 		if (incarnation > member.incarnation || counter > member.counter) {
 			member.incarnation = incarnation;
 			member.counter = counter;
-			member.heardAt = now;
+			member.lastHeartbeatAt = now;
 		}
 	}
 }
--- a/src/membership/peer-pool.ts
+++ b/src/membership/peer-pool.ts
@@ -20,8 +20,8 @@
 };
 
 /** A link that nobody used for this long is closed, milliseconds. */
-const idleMs = 60_000;
-const maximumQueue = 16;
+const idleTimeoutMs = 60_000;
+const maximumQueuedMessages = 16;
 
 /** The links to other entries, opened when first needed and closed when long unused. */
 export class PeerPool {
@@ -43,7 +43,7 @@
 
 		const peer = known && !isMoved ? known : this.open(vm);
 		peer.usedAt = this.options.clock();
-		if (peer.queue && peer.queue.length < maximumQueue) {
+		if (peer.queue && peer.queue.length < maximumQueuedMessages) {
 			peer.queue.push(message);
 			return true;
 		}
@@ -61,7 +61,7 @@
 	/** Closes links that were not used for long. */
 	tick(now: number): void {
 		for (const [id, {link, usedAt}] of this.links) {
-			if (now - usedAt > idleMs) {
+			if (now - usedAt > idleTimeoutMs) {
 				link.close();
 				this.links.delete(id);
 			}
--- a/src/mesh/entry-mesh.ts
+++ b/src/mesh/entry-mesh.ts
@@ -149,7 +149,7 @@
 
 			case 'view-offered': {
 				this.hasPeerView = true;
-				if (this.options.view.takeSnapshot(message.view)) {
+				if (this.options.view.mergeSnapshot(message.view)) {
 					const {era, number} = message.view.asOf;
 					this.options.log(`took a peer's view of era ${era} revision ${number}`);
 				}
@@ -221,7 +221,7 @@
 		const {view, getConfigurationVersion} = this.options;
 		// With the store in reach, the own wait brings a change sooner than a peer, as a rule.
 		if (isLater(viewRevision, view.asOf)) {
-			const isStale = view.isCutOff || !view.isKnown || view.getAge(now) > viewAgeMs + quietMs;
+			const isStale = view.isStoreUnavailable || !view.isLoaded || view.getAge(now) > viewAgeMs + quietMs;
 			return isStale ? view.asOf : undefined;
 		}
 
--- a/src/metrics/make-view-gauges.ts
+++ b/src/metrics/make-view-gauges.ts
@@ -29,6 +29,6 @@
 		'Time since this process last heard all that the store holds, seconds',
 		view => Math.min(Number.MAX_SAFE_INTEGER, view.getAge(readClock())) / 1000,
 	);
-	show('wardswitch_view_dropped_answers', 'Answers of the store from before what this process knew, since its start', view => view.dropped);
+	show('wardswitch_view_dropped_answers', 'Answers of the store from before what this process knew, since its start', view => view.droppedAnswers);
 	show('wardswitch_view_retained_keys', 'Keys on which this process goes on with what it knew against what the store holds', view => view.retainedKeys);
 }
--- a/src/once/claim-lease.ts
+++ b/src/once/claim-lease.ts
@@ -10,34 +10,34 @@
 	readonly periodSeconds: number;
 };
 
-type Term = {readonly lease: string; readonly grantedAt: number};
+type LeasePeriod = {readonly lease: string; readonly grantedAt: number};
 
 /** The lease that an entry hangs its claims on: one for each period, so that claims expire together without a delete each. */
 export class ClaimLease {
-	private term: Term | undefined;
-	private granting: Promise<Result<Term, PlatformError>> | undefined;
+	private period: LeasePeriod | undefined;
+	private pendingGrant: Promise<Result<LeasePeriod, PlatformError>> | undefined;
 
 	constructor(private readonly options: LeaseOptions) {}
 
 	/** The lease for a claim made at `now` (milliseconds), and when such a claim expires. */
 	async get(now: number): Promise<Result<{readonly lease: string; readonly expiresAt: number}, PlatformError>> {
 		const {retentionSeconds, periodSeconds} = this.options;
-		if (!this.term || now - this.term.grantedAt >= periodSeconds * 1000) {
-			this.granting ??= this.grant(now);
-			const granted = await this.granting;
-			this.granting = undefined;
+		if (!this.period || now - this.period.grantedAt >= periodSeconds * 1000) {
+			this.pendingGrant ??= this.grant(now);
+			const granted = await this.pendingGrant;
+			this.pendingGrant = undefined;
 			if (granted.isErr()) {
 				return err(granted.error);
 			}
 
-			this.term = granted.value;
+			this.period = granted.value;
 		}
 
-		return ok({lease: this.term.lease, expiresAt: this.term.grantedAt + (retentionSeconds * 1000)});
+		return ok({lease: this.period.lease, expiresAt: this.period.grantedAt + (retentionSeconds * 1000)});
 	}
 
 	/* The term counts from before the call, so that the lease outlives what we say of it. */
-	private async grant(now: number): Promise<Result<Term, PlatformError>> {
+	private async grant(now: number): Promise<Result<LeasePeriod, PlatformError>> {
 		const {retentionSeconds, periodSeconds, keyValue} = this.options;
 		const lease = await keyValue.grantLease(retentionSeconds + periodSeconds);
 		return lease.map(id => ({lease: id, grantedAt: now}));
--- a/src/once/claim-store.ts
+++ b/src/once/claim-store.ts
@@ -9,7 +9,7 @@
 
 type NewClaim = Omit<Claim, 'at' | 'expiresAt'>;
 
-const tries = 3;
+const maximumAttempts = 3;
 
 /** The claims on idempotency keys in the key-value service. */
 export class ClaimStore {
@@ -42,7 +42,7 @@
 
 		const full: Claim = {...claim, at: now, expiresAt: lease.value.expiresAt};
 		let failure: PlatformError | undefined;
-		for (let attempt = 0; attempt < tries; attempt++) {
+		for (let attempt = 0; attempt < maximumAttempts; attempt++) {
 			const written = await this.keyValue.commit({
 				conditions: [{key, revision}],
 				puts: [{key, value: JSON.stringify(full), lease: lease.value.lease}],
--- a/src/once/make-claim-guard.ts
+++ b/src/once/make-claim-guard.ts
@@ -40,14 +40,14 @@
  * finds it there asks that process, which alone knows whether the owner came.
  */
 export function makeClaimGuard(options: GuardOptions): RunGuard {
-	let mine: HeldClaim | undefined;
-	let theirs: HeldClaim | undefined;
+	let ownClaim: HeldClaim | undefined;
+	let otherClaim: HeldClaim | undefined;
 	let revision = 0;
 
-	const judge = (held: HeldClaim): Result<RunPermit, Problem> => {
+	const toPermit = (held: HeldClaim): Result<RunPermit, Problem> => {
 		const {claim} = held;
 		if (claim.owner === options.owner) {
-			mine = held;
+			ownClaim = held;
 			revision = held.revision;
 			return ok({
 				kind: 'run',
@@ -61,8 +61,8 @@
 			return err(makeReuseProblem());
 		}
 
-		mine = undefined;
-		theirs = held;
+		ownClaim = undefined;
+		otherClaim = held;
 		return ok({
 			kind: 'join', target: claim.target, incarnation: claim.incarnation, key: options.key, owner: claim.owner,
 		});
@@ -76,21 +76,21 @@
 				owner: options.owner, bodyHash: options.bodyHash, target: link.vm.id, incarnation: link.incarnation!,
 			};
 			const held = await options.store.put(options.key, claim, revision, options.clock());
-			return held.isErr() ? err(makePlatformProblem(held.error.message)) : judge(held.value);
+			return held.isErr() ? err(makePlatformProblem(held.error.message)) : toPermit(held.value);
 		},
-		adopt() {
-			revision = theirs!.revision;
+		takeOver() {
+			revision = otherClaim!.revision;
 		},
-		doubt() {
-			mine = undefined;
+		noteOwnershipRefused() {
+			ownClaim = undefined;
 			revision = 0;
 		},
 		async abandon() {
-			if (!mine) {
+			if (!ownClaim) {
 				return 'unknown';
 			}
 
-			return await options.store.release(options.key, mine.revision) ? 'unused' : 'unknown';
+			return await options.store.release(options.key, ownClaim.revision) ? 'unused' : 'unknown';
 		},
 	};
 }
--- a/src/once/make-ticket-guard.ts
+++ b/src/once/make-ticket-guard.ts
@@ -7,8 +7,8 @@
 /** Guards a request by a ticket: it runs at the ticket's target process or nowhere, and that process remembers it. */
 export function makeTicketGuard(ticket: Ticket): RunGuard {
 	const key = `ticket/${ticket.id}`;
-	let isTaken = false;
-	let isAsked = false;
+	let isUsed = false;
+	let hasRequestedRun = false;
 	return {
 		isRepeatable: false,
 		target: ticket.target,
@@ -24,8 +24,8 @@
 			}
 
 			const {target, incarnation, expiresAt} = ticket;
-			isAsked = true;
-			return isTaken
+			hasRequestedRun = true;
+			return isUsed
 				? ok({
 					kind: 'join', target, incarnation, key, owner: key,
 				})
@@ -36,19 +36,19 @@
 					},
 				});
 		},
-		adopt() {
-			isTaken = false;
+		takeOver() {
+			isUsed = false;
 		},
-		doubt() {
-			isTaken = true;
+		noteOwnershipRefused() {
+			isUsed = true;
 		},
 		async abandon() {
-			if (isTaken) {
+			if (isUsed) {
 				return 'used';
 			}
 
 			// Only the target process knows of earlier copies; its refusal says that there was none.
-			return isAsked ? 'unused' : 'unknown';
+			return hasRequestedRun ? 'unused' : 'unknown';
 		},
 	};
 }
--- a/src/once/run-guard.ts
+++ b/src/once/run-guard.ts
@@ -12,9 +12,9 @@
 	/** Asks to run at a target; called again for each further target. */
 	admit(link: TargetLink): Promise<Result<RunPermit, Problem>>;
 	/** Notes that the target of a `join` proved that the first copy did not run there and never will. */
-	adopt(): void;
+	takeOver(): void;
 	/** Notes that the target no longer takes our word for owning the key; the next `admit` looks again. */
-	doubt(): void;
+	noteOwnershipRefused(): void;
 	/** Gives up without having run; tells what is known of the key then. */
 	abandon(): Promise<'unused' | 'used' | 'unknown' | undefined>;
 };
--- a/src/requests/dispatcher.ts
+++ b/src/requests/dispatcher.ts
@@ -164,7 +164,7 @@
 		switch (result.reason) {
 			case 'cancelled':
 			case 'duplicate': {
-				guard.doubt();
+				guard.noteOwnershipRefused();
 				break;
 			}
 
@@ -206,7 +206,7 @@
 
 		exchange.response.removeHeader('wardswitch-replayed');
 		if (result.kind === 'not-run' && result.reason === 'unknown-call') {
-			guard.adopt();
+			guard.takeOver();
 			return undefined;
 		}
 
--- a/src/requests/filters/make-dispatch-filter.ts
+++ b/src/requests/filters/make-dispatch-filter.ts
@@ -2,7 +2,7 @@
 import {err, ok, type Result} from 'neverthrow';
 import {ClaimStore} from '../../once/claim-store.js';
 import {makeClaimGuard} from '../../once/make-claim-guard.js';
-import {makeFreeGuard} from '../../once/make-free-guard.js';
+import {makeUnkeyedGuard} from '../../once/make-unkeyed-guard.js';
 import {makeTicketGuard} from '../../once/make-ticket-guard.js';
 import {readTicket} from '../../once/read-ticket.js';
 import {type RunGuard} from '../../once/run-guard.js';
@@ -42,7 +42,7 @@
 		}));
 	}
 
-	return ok(makeFreeGuard(exchange.isRepeatable));
+	return ok(makeUnkeyedGuard(exchange.isRepeatable));
 }
 
 function checkTicket(exchange: Exchange, options: DispatchFilterOptions): Result<RunGuard, Problem> {
--- a/src/view/retained-items.ts
+++ b/src/view/retained-items.ts
@@ -1,7 +1,7 @@
 import {type RemovedKey} from '../key-value/removed-key.js';
 import {type StoredValue} from '../key-value/stored-value.js';
-import {type ItemGuard} from './item-guard.js';
-import {rewriteMs} from './rewrite-ms.js';
+import {type ItemComparator} from './item-comparator.js';
+import {rewriteWindowMs} from './rewrite-window-ms.js';
 import {type RemovedItems} from './removed-items.js';
 import {type StoredItem} from './stored-item.js';
 import {type ViewSnapshot} from './view-snapshot.js';
@@ -15,7 +15,7 @@
 	readonly until: number;
 };
 
-type Restoration = {
+type Rollback = {
 	/** What counted before, what the store holds now, and what was removed lately. */
 	readonly before: Items;
 	readonly stored: Items;
@@ -23,7 +23,7 @@
 };
 
 /** A registration that nobody renews has lapsed after this time, milliseconds; one that a copy holds again is not believed before. */
-const lapseMs = 10_000;
+const registrationExpiryMs = 10_000;
 
 /**
  * Keys on which a process goes on with what it knew against what the store holds, since the store has come back from an older copy, or
@@ -32,7 +32,7 @@
 export class RetainedItems {
 	private readonly entries = new Map<string, Retained>();
 
-	constructor(private readonly guard: ItemGuard) {}
+	constructor(private readonly guard: ItemComparator) {}
 
 	get size(): number {
 		return this.entries.size;
@@ -43,12 +43,12 @@
 	}
 
 	/** Keeps an item until something newer is written. */
-	keep(item: StoredItem): void {
+	retain(item: StoredItem): void {
 		this.entries.set(item.key, {item, until: Number.POSITIVE_INFINITY});
 	}
 
 	/** What counts, by key. */
-	merge(stored: Items): Items {
+	overlay(stored: Items): Items {
 		const merged = new Map(stored);
 		for (const [key, {item}] of this.entries) {
 			if (item) {
@@ -62,31 +62,31 @@
 	}
 
 	/** Decides anew what is kept, since the store has come back from a copy. */
-	restore({before, stored, removed}: Restoration, now: number): void {
+	rebuild({before, stored, removed}: Rollback, now: number): void {
 		this.entries.clear();
 		for (const known of before.values()) {
-			const until = this.decideEnd(known, stored.get(known.key), now);
+			const until = this.findRetentionEnd(known, stored.get(known.key), now);
 			if (until !== undefined) {
 				this.entries.set(known.key, {item: known, until});
 			}
 		}
 
-		this.end(removed.values());
+		this.releaseRemoved(removed.values());
 
 		for (const [key, offered] of stored) {
 			const ended = before.has(key) ? undefined : removed.get(key)?.item;
-			const isOfCopy = ended !== undefined && offered.revision <= ended.revision;
-			if (isOfCopy && this.guard.isSame(ended, offered)) {
-				this.entries.set(key, {item: undefined, until: now + lapseMs});
+			const isFromBackup = ended !== undefined && offered.revision <= ended.revision;
+			if (isFromBackup && this.guard.isSameIncarnation(ended, offered)) {
+				this.entries.set(key, {item: undefined, until: now + registrationExpiryMs});
 			}
 		}
 	}
 
 	/** Takes a change that the store tells, or finds when it is read again; `known` is what counted until now. */
-	take(change: StoredValue | RemovedKey, known: StoredItem | undefined): void {
+	applyChange(change: StoredValue | RemovedKey, known: StoredItem | undefined): void {
 		const isOlder = known !== undefined && !('isRemoved' in change) && this.guard.isOlder(known, change) === true;
 		if (isOlder) {
-			this.keep(known);
+			this.retain(known);
 		} else {
 			this.entries.delete(change.key);
 		}
@@ -107,12 +107,12 @@
 	 *
 	 * @returns whether anything was kept
 	 */
-	end(removed: Iterable<{readonly item: StoredItem}>): boolean {
+	releaseRemoved(removed: Iterable<{readonly item: StoredItem}>): boolean {
 		let hasEnded = false;
 		for (const {item: ended} of removed) {
 			const known = this.entries.get(ended.key)?.item;
-			const isLaterOne = known !== undefined && (known.era > ended.era || (known.era === ended.era && known.revision > ended.revision));
-			if (known && !isLaterOne && this.guard.isSame(ended, known)) {
+			const isNewer = known !== undefined && (known.era > ended.era || (known.era === ended.era && known.revision > ended.revision));
+			if (known && !isNewer && this.guard.isSameIncarnation(ended, known)) {
 				this.entries.delete(ended.key);
 				hasEnded = true;
 			}
@@ -136,27 +136,27 @@
 	 *
 	 * @returns whether anything was taken over
 	 */
-	adopt(offered: NonNullable<ViewSnapshot['retained']>, stored: Items, now: number): boolean {
-		const open = offered.filter(({key, storedRevision}) => !this.entries.has(key) && stored.get(key)?.revision === storedRevision);
-		for (const {key, item, leftMs} of open) {
+	mergeFromPeer(offered: NonNullable<ViewSnapshot['retained']>, stored: Items, now: number): boolean {
+		const unchanged = offered.filter(({key, storedRevision}) => !this.entries.has(key) && stored.get(key)?.revision === storedRevision);
+		for (const {key, item, leftMs} of unchanged) {
 			this.entries.set(key, {item, until: now + (leftMs ?? Number.POSITIVE_INFINITY)});
 		}
 
-		return open.length > 0;
+		return unchanged.length > 0;
 	}
 
-	private decideEnd(known: StoredItem, offered: StoredItem | undefined, now: number): number | undefined {
+	private findRetentionEnd(known: StoredItem, offered: StoredItem | undefined, now: number): number | undefined {
 		const isOlder = this.guard.isOlder(known, offered);
 		if (isOlder === true) {
 			return Number.POSITIVE_INFINITY;
 		}
 
 		if (offered === undefined) {
-			return now + rewriteMs;
+			return now + rewriteWindowMs;
 		}
 
 		// Where the items do not tell, the lower number is from before, as a rule; what is written in the new era soon has a higher one.
 		const isLikelyOlder = isOlder === undefined && offered.value !== known.value && offered.revision < known.revision;
-		return isLikelyOlder ? now + rewriteMs : undefined;
+		return isLikelyOlder ? now + rewriteWindowMs : undefined;
 	}
 }
--- a/src/view/rewrite-ms.ts
+++ b/src/view/rewrite-window-ms.ts
@@ -1,2 +1,2 @@
 /** Those who have written what a copy of the store lacks write it again within this time, milliseconds. */
-export const rewriteMs = 2000;
+export const rewriteWindowMs = 2000;
--- a/src/view/store-contact.ts
+++ b/src/view/store-availability.ts
@@ -1,25 +1,25 @@
-import {rewriteMs} from './rewrite-ms.js';
+import {rewriteWindowMs} from './rewrite-window-ms.js';
 
 /** A store that gave no answer for so long was away, milliseconds. */
-const outageMs = 800;
+const minimumOutageMs = 800;
 /** For so long after the store is back, what is missing may still come back, milliseconds. */
-const returnMs = 2500;
+const recoveryMs = 2500;
 
 /** Whether the store answers a process's calls, and since when. */
-export class StoreContact {
+export class StoreAvailability {
 	private failedSince: number | undefined;
-	private returningUntil = Number.NEGATIVE_INFINITY;
+	private recoveringUntil = Number.NEGATIVE_INFINITY;
 
 	constructor(private readonly log: (message: string) => void) {}
 
 	/** Whether the last call failed. */
-	get isLost(): boolean {
+	get isUnavailable(): boolean {
 		return this.failedSince !== undefined;
 	}
 
 	/** Whether the store has come back so recently that lapsed keys may still return. */
-	isReturning(now: number): boolean {
-		return now < this.returningUntil;
+	isRecovering(now: number): boolean {
+		return now < this.recoveringUntil;
 	}
 
 	/** Notes a call that failed. */
@@ -37,16 +37,16 @@
 			return;
 		}
 
-		const awayMs = now - this.failedSince;
+		const outageMs = now - this.failedSince;
 		this.failedSince = undefined;
-		this.log(`store answers again after ${Math.round(awayMs)} ms`);
-		if (awayMs > outageMs) {
-			this.returningUntil = now + returnMs;
+		this.log(`store answers again after ${Math.round(outageMs)} ms`);
+		if (outageMs > minimumOutageMs) {
+			this.recoveringUntil = now + recoveryMs;
 		}
 	}
 
 	/** Notes that the store has come back from a copy: what that lacks is kept for so long, and then is gone. */
-	noteRestoration(now: number): void {
-		this.returningUntil = now + rewriteMs;
+	noteRollback(now: number): void {
+		this.recoveringUntil = now + rewriteWindowMs;
 	}
 }
--- a/src/view/store-view.ts
+++ b/src/view/store-view.ts
@@ -3,9 +3,9 @@
 import {type RemovedKey} from '../key-value/removed-key.js';
 import {type Revision} from '../key-value/revision.js';
 import {type StoredValue} from '../key-value/stored-value.js';
-import {type ItemGuard} from './item-guard.js';
+import {type ItemComparator} from './item-comparator.js';
 import {describeRetained} from './describe-retained.js';
-import {StoreContact} from './store-contact.js';
+import {StoreAvailability} from './store-availability.js';
 import {type StoredItem} from './stored-item.js';
 import {ViewItems} from './view-items.js';
 import {type ViewSnapshot} from './view-snapshot.js';
@@ -14,14 +14,14 @@
 	readonly feed: ChangeFeed;
 	readonly prefix: string;
 	/** Which of two items is to be believed, whoever names them. */
-	readonly guard: ItemGuard;
+	readonly comparator: ItemComparator;
 	/** Longest wait of one call for changes, milliseconds: a process cut off and back notices within it. */
 	readonly waitMs: number;
 	/**
 	 * Longest time from a failed call to the next, milliseconds, half of it more or less by chance. Calls that are refused
 	 * at once are spaced by it; one that was only given up on is followed by the next without a pause.
 	 */
-	readonly longestPauseMs: number;
+	readonly maximumBackoffMs: number;
 	readonly clock: () => number;
 	readonly random: () => number;
 	/** Waits; scenarios pass their own. */
@@ -32,17 +32,17 @@
 };
 
 /** What a call came to: no answer, one that brought the view on or waited in vain, or one that changed nothing. */
-type Turn = 'failed' | 'moved' | 'idle';
+type CallResult = 'failed' | 'moved' | 'idle';
 
 /**
  * Changes come in bursts: after some, the next are gathered for this time, milliseconds, into one answer. Each answer is
  * a call at every entry, and two seconds are allowed for a change to be in force.
  */
-const gatherMs = 300;
+const batchingMs = 300;
 /** Pause after the first call that failed or brought nothing, milliseconds; it doubles with each one more. */
-const firstPauseMs = 50;
+const initialBackoffMs = 50;
 /** Wait of a call for changes while the store does not answer, milliseconds: its return shows as soon. */
-const lostWaitMs = 300;
+const unavailableWaitMs = 300;
 const describe = ({era, number}: Revision): string => `era ${era} revision ${number}`;
 const toItems = (items: readonly StoredValue[], era: number): StoredItem[] => items.map(item => ({...item, era}));
 
@@ -53,19 +53,19 @@
  */
 export class StoreView {
 	private readonly items: ViewItems;
-	private readonly contact: StoreContact;
+	private readonly availability: StoreAvailability;
 	private revision: Revision = {era: 0, number: 0};
-	private pauseMs = firstPauseMs;
-	private needsList = true;
+	private pauseMs = initialBackoffMs;
+	private needsFullRead = true;
 	private isClosed = false;
 	/** When the store is known to have had nothing newer, by own calls or a peer's, milliseconds. */
-	private currentAt = Number.NEGATIVE_INFINITY;
-	private droppedAnswers = 0;
-	private endWait: (() => void) | undefined;
+	private upToDateAt = Number.NEGATIVE_INFINITY;
+	private staleAnswers = 0;
+	private abortWait: (() => void) | undefined;
 
 	constructor(private readonly options: ViewOptions) {
-		this.items = new ViewItems(options.guard, options.log);
-		this.contact = new StoreContact(options.log);
+		this.items = new ViewItems(options.comparator, options.log);
+		this.availability = new StoreAvailability(options.log);
 	}
 
 	/** Revision of the store that the view is known to include. */
@@ -74,8 +74,8 @@
 	}
 
 	/** Answers that were not taken over, since they were from before what is known. */
-	get dropped(): number {
-		return this.droppedAnswers;
+	get droppedAnswers(): number {
+		return this.staleAnswers;
 	}
 
 	/** Keys on which the view goes on with what it knew against what the store holds. */
@@ -84,23 +84,23 @@
 	}
 
 	/** Whether anything is known yet. */
-	get isKnown(): boolean {
+	get isLoaded(): boolean {
 		return this.revision.number > 0;
 	}
 
 	/** Whether the last own call to the store failed. */
-	get isCutOff(): boolean {
-		return this.contact.isLost;
+	get isStoreUnavailable(): boolean {
+		return this.availability.isUnavailable;
 	}
 
 	/** Milliseconds since the view was last known to be current. */
 	getAge(now: number): number {
-		return now - this.currentAt;
+		return now - this.upToDateAt;
 	}
 
 	/** Whether the store has come back so recently that lapsed keys may still return. */
-	isReturning(now: number): boolean {
-		return this.contact.isReturning(now);
+	isRecovering(now: number): boolean {
+		return this.availability.isRecovering(now);
 	}
 
 	get(key: string): StoredItem | undefined {
@@ -124,11 +124,11 @@
 			const before = this.revision;
 			const turn = await this.turn();
 			if (turn === 'moved') {
-				this.pauseMs = firstPauseMs;
+				this.pauseMs = initialBackoffMs;
 			}
 
 			if (isLater(this.revision, before)) {
-				await this.options.delay(gatherMs);
+				await this.options.delay(batchingMs);
 			} else if (turn !== 'moved') {
 				await this.pause(turn, this.options.clock() - startedAt);
 			}
@@ -148,9 +148,9 @@
 
 	/** Learns that the store is in an era, from whoever has heard it: a wait in a former one may never be answered. */
 	noteEra(era: number): void {
-		if (this.isKnown && era > this.revision.era && !this.needsList) {
-			this.needsList = true;
-			this.endWait?.();
+		if (this.isLoaded && era > this.revision.era && !this.needsFullRead) {
+			this.needsFullRead = true;
+			this.abortWait?.();
 		}
 	}
 
@@ -160,18 +160,18 @@
 	}
 
 	/** Takes over what a peer's view knows more than this one: all of it if it is newer, or single items that are. */
-	takeSnapshot(snapshot: ViewSnapshot): boolean {
+	mergeSnapshot(snapshot: ViewSnapshot): boolean {
 		const now = this.options.clock();
 		const hasEnded = this.items.mergeRemoved(snapshot, now);
 		const isNewer = isLater(snapshot.asOf, this.revision);
 		if (isNewer) {
 			this.replace(toItems(snapshot.items, snapshot.asOf.era), snapshot.asOf, now);
-			this.needsList = false;
-			this.currentAt = Math.max(this.currentAt, now - snapshot.ageMs);
+			this.needsFullRead = false;
+			this.upToDateAt = Math.max(this.upToDateAt, now - snapshot.ageMs);
 		}
 
-		const hasAdopted = snapshot.asOf.era === this.revision.era && this.items.adoptRetained(snapshot, now);
-		const hasKept = this.items.keepNewer(snapshot);
+		const hasAdopted = snapshot.asOf.era === this.revision.era && this.items.mergeRetained(snapshot, now);
+		const hasKept = this.items.retainNewer(snapshot);
 		const hasChanged = hasEnded || isNewer || hasAdopted || hasKept;
 		if (hasChanged) {
 			this.options.onChange(now);
@@ -181,17 +181,17 @@
 	}
 
 	/** One reading or wait. */
-	private async turn(): Promise<Turn> {
-		return this.needsList ? this.readAll() : this.readChanges();
+	private async turn(): Promise<CallResult> {
+		return this.needsFullRead ? this.readAll() : this.readChanges();
 	}
 
-	private async pause(turn: Turn, tookMs: number): Promise<void> {
+	private async pause(turn: CallResult, tookMs: number): Promise<void> {
 		const pauseMs = this.pauseMs * (0.5 + this.options.random());
-		await this.options.delay(Math.max(firstPauseMs * (turn === 'idle' ? this.options.random() : 1), pauseMs - tookMs));
-		this.pauseMs = Math.min(this.options.longestPauseMs, this.pauseMs * 2);
+		await this.options.delay(Math.max(initialBackoffMs * (turn === 'idle' ? this.options.random() : 1), pauseMs - tookMs));
+		this.pauseMs = Math.min(this.options.maximumBackoffMs, this.pauseMs * 2);
 	}
 
-	private async readAll(): Promise<Turn> {
+	private async readAll(): Promise<CallResult> {
 		const {feed, prefix, clock} = this.options;
 		const asked = this.revision;
 		const answer = await feed.list(prefix);
@@ -201,32 +201,32 @@
 			return 'failed';
 		}
 
-		this.contact.noteAnswer(now);
-		this.needsList = false;
+		this.availability.noteAnswer(now);
+		this.needsFullRead = false;
 		const {era, asOf, items} = answer.value;
 		const listed = {era, number: asOf};
 		// A list that began after a revision was known and does not include it is of a store that has gone back, whatever its era.
-		const hasGoneBack = this.revision === asked && era === asked.era && asOf < asked.number;
-		if (isLater(this.revision, listed) && !hasGoneBack) {
-			this.drop(listed);
+		const hasRolledBack = this.revision === asked && era === asked.era && asOf < asked.number;
+		if (isLater(this.revision, listed) && !hasRolledBack) {
+			this.noteStaleAnswer(listed);
 			return 'idle';
 		}
 
 		this.replace(toItems(items, era), listed, now);
-		this.currentAt = now;
+		this.upToDateAt = now;
 		this.options.onChange(now);
 		return 'moved';
 	}
 
-	private async readChanges(): Promise<Turn> {
+	private async readChanges(): Promise<CallResult> {
 		const {feed, prefix, waitMs, clock} = this.options;
 		const asked = this.revision;
 		const ended = new Promise<undefined>(resolve => {
-			this.endWait = () => {
+			this.abortWait = () => {
 				resolve(undefined);
 			};
 		});
-		const answer = await Promise.race([feed.poll(prefix, asked.number, this.isCutOff ? Math.min(lostWaitMs, waitMs) : waitMs), ended]);
+		const answer = await Promise.race([feed.poll(prefix, asked.number, this.isStoreUnavailable ? Math.min(unavailableWaitMs, waitMs) : waitMs), ended]);
 		const now = clock();
 		if (answer === undefined) {
 			return 'idle';
@@ -237,33 +237,33 @@
 			return 'failed';
 		}
 
-		this.contact.noteAnswer(now);
+		this.availability.noteAnswer(now);
 		const {kind, era} = answer.value;
 		if (era < this.revision.era) {
-			this.drop({era, number: asked.number});
+			this.noteStaleAnswer({era, number: asked.number});
 			return 'idle';
 		}
 
 		if (kind === 'forgotten' || era !== this.revision.era) {
 			this.options.log(`history after ${describe(this.revision)} is gone, reading all of era ${era}`);
-			this.needsList = true;
+			this.needsFullRead = true;
 			return 'idle';
 		}
 
 		// What a peer has brought meanwhile may be of another era than the wait, whose changes then do not follow it.
 		if (asked.era === era) {
 			this.apply(answer.value.changes, answer.value.asOf, now);
-			this.currentAt = now;
+			this.upToDateAt = now;
 		}
 
 		return 'moved';
 	}
 
 	private replace(items: readonly StoredItem[], asOf: Revision, now: number): void {
-		const isRestored = this.isKnown && (asOf.era !== this.revision.era || asOf.number < this.revision.number);
+		const isRestored = this.isLoaded && (asOf.era !== this.revision.era || asOf.number < this.revision.number);
 		this.items.replace(items, isRestored, now);
 		if (isRestored) {
-			this.contact.noteRestoration(now);
+			this.availability.noteRollback(now);
 			const kept = describeRetained(this.items.getSnapshot(now).retained ?? []);
 			this.options.log(`store has come back from a copy: ${describe(asOf)}, this view was of ${describe(this.revision)}${kept}`);
 		}
@@ -282,11 +282,11 @@
 	}
 
 	private noteFailure(message: string, now: number): void {
-		this.contact.noteFailure(`${message}; going on with ${describe(this.revision)}`, now);
+		this.availability.noteFailure(`${message}; going on with ${describe(this.revision)}`, now);
 	}
 
-	private drop(answer: Revision): void {
-		this.droppedAnswers++;
+	private noteStaleAnswer(answer: Revision): void {
+		this.staleAnswers++;
 		this.options.log(`answer of ${describe(answer)} does not count: this view is of ${describe(this.revision)}`);
 	}
 }
--- a/src/view/view-items.ts
+++ b/src/view/view-items.ts
@@ -1,6 +1,6 @@
 import {type RemovedKey} from '../key-value/removed-key.js';
 import {type StoredValue} from '../key-value/stored-value.js';
-import {type ItemGuard} from './item-guard.js';
+import {type ItemComparator} from './item-comparator.js';
 import {RemovedItems} from './removed-items.js';
 import {RetainedItems} from './retained-items.js';
 import {type StoredItem} from './stored-item.js';
@@ -16,7 +16,7 @@
 	/** What counts: what is stored but for what is retained. */
 	private current: ReadonlyMap<string, StoredItem> = this.stored;
 
-	constructor(private readonly guard: ItemGuard, private readonly log: (message: string) => void) {
+	constructor(private readonly guard: ItemComparator, private readonly log: (message: string) => void) {
 		this.retained = new RetainedItems(guard);
 		this.removed = new RemovedItems(guard);
 	}
@@ -51,12 +51,12 @@
 		const former = this.stored;
 		this.stored = new Map(items.map(item => [item.key, item]));
 		if (isRestored) {
-			this.retained.restore({before: this.current, stored: this.stored, removed: this.removed}, now);
+			this.retained.rebuild({before: this.current, stored: this.stored, removed: this.removed}, now);
 		} else {
-			this.compare(former, now);
+			this.detectChanges(former, now);
 		}
 
-		this.refresh();
+		this.updateCurrent();
 	}
 
 	/** Takes over changes that the store tells. */
@@ -65,7 +65,7 @@
 			this.applyOne(change, now);
 		}
 
-		this.refresh();
+		this.updateCurrent();
 	}
 
 	/** Ends what was kept for long enough; gives whether anything was. */
@@ -77,7 +77,7 @@
 		}
 
 		this.removed.prune(now);
-		this.refresh();
+		this.updateCurrent();
 		return hasChanged;
 	}
 
@@ -91,44 +91,44 @@
 	/** Learns what a peer knows to have been removed; gives whether that ends anything that was kept. */
 	mergeRemoved({removed}: SnapshotItems, now: number): boolean {
 		const unknown = this.removed.merge(removed, this.stored, now);
-		const hasEnded = this.retained.end(unknown);
-		this.refresh();
+		const hasEnded = this.retained.releaseRemoved(unknown);
+		this.updateCurrent();
 		return hasEnded;
 	}
 
 	/** Takes over what a peer keeps against the same answers of the store; gives whether anything was. */
-	adoptRetained({retained}: SnapshotItems, now: number): boolean {
-		const offered = (retained ?? []).filter(({item}) => item === undefined || !this.removed.hasEnded(item));
-		const hasAdopted = this.retained.adopt(offered, this.stored, now);
-		this.refresh();
+	mergeRetained({retained}: SnapshotItems, now: number): boolean {
+		const offered = (retained ?? []).filter(({item}) => item === undefined || !this.removed.hasRemoved(item));
+		const hasAdopted = this.retained.mergeFromPeer(offered, this.stored, now);
+		this.updateCurrent();
 		return hasAdopted;
 	}
 
 	/** Keeps items that a peer knows to be newer than those here, whatever era its view is of; gives whether there are any. */
-	keepNewer({items, retained}: SnapshotItems): boolean {
+	retainNewer({items, retained}: SnapshotItems): boolean {
 		const offered = [...items, ...(retained ?? []).flatMap(({item}) => item ?? [])];
 		const newer = offered.filter(item => this.guard.isOlder(item, this.current.get(item.key)) === true);
 		for (const item of newer) {
 			this.log(`a peer knows a newer ${item.key}`);
-			this.retained.keep(item);
+			this.retained.retain(item);
 		}
 
-		this.refresh();
+		this.updateCurrent();
 		return newer.length > 0;
 	}
 
 	/* Within an era what differs was written or removed since. */
-	private compare(former: ReadonlyMap<string, StoredItem>, now: number): void {
+	private detectChanges(former: ReadonlyMap<string, StoredItem>, now: number): void {
 		for (const [key, item] of this.stored) {
 			if (item.revision !== former.get(key)?.revision) {
-				this.retained.take(item, this.current.get(key));
+				this.retained.applyChange(item, this.current.get(key));
 			}
 		}
 
 		for (const [key, item] of former) {
 			if (!this.stored.has(key)) {
 				this.removed.note(item, now);
-				this.retained.take({key, revision: item.revision, isRemoved: true}, item);
+				this.retained.applyChange({key, revision: item.revision, isRemoved: true}, item);
 			}
 		}
 	}
@@ -137,7 +137,7 @@
 		const {key, revision} = change;
 		const retained = this.retained.get(key);
 		const known = retained ? retained.item : this.stored.get(key);
-		this.retained.take(change, known);
+		this.retained.applyChange(change, known);
 		if (this.retained.get(key)) {
 			this.log(`${key} as written at revision ${revision} is older than what is known, and does not count`);
 		}
@@ -153,7 +153,7 @@
 		}
 	}
 
-	private refresh(): void {
-		this.current = this.retained.size > 0 ? this.retained.merge(this.stored) : this.stored;
+	private updateCurrent(): void {
+		this.current = this.retained.size > 0 ? this.retained.overlay(this.stored) : this.stored;
 	}
 }
