--- a/features/steps/restored-store-steps.ts
+++ b/features/steps/restored-store-steps.ts
@@ -214,7 +214,7 @@
 		assert.match(text, new RegExp(`^wardswitch_view_revision ${crowd.store.lastRevision}$`, 'mv'));
 		assert.match(text, /^wardswitch_view_retained_keys 0$/mv);
 		assert.ok(view.getAge(crowd.now) <= longestWaitMs, `${view.getAge(crowd.now)} ms`);
-		assert.ok(crowd.logLines.some(line => line.includes(` ${id}: store has come back from a copy: era 1 revision`)));
+		assert.ok(crowd.logLines.some(line => line.includes(` ${id}: store was restored from a backup: era 1 revision`)));
 	}
 });
 
--- a/src/fleet/group-index.ts
+++ b/src/fleet/group-index.ts
@@ -10,15 +10,15 @@
 	}
 };
 
-/** Which group of ranks each engine belongs to, as the planners of the groups have written it. */
+/** Maps each engine to its group of ranks, from the listings that the groups' planners write to the store. */
 export class GroupIndex {
 	private groups = new Map<string, string>();
 	private epochs = new Map<string, number>();
 
 	/**
-	 * Takes the listings in the store.
+	 * Replaces all listings; one that cannot be parsed is ignored.
 	 *
-	 * @returns groups that have been formed anew since, as `SERVICE/GROUP`; a listing that cannot be read lists nothing
+	 * @returns the groups whose epoch has changed, that is, which were formed again, as `SERVICE/GROUP`
 	 */
 	replace(items: readonly StoredValue[]): string[] {
 		const groups = new Map<string, string>();
@@ -40,7 +40,7 @@
 		return reformed;
 	}
 
-	/** Name of the group that the engine at an address belongs to within its service; undefined when none is known. */
+	/** Name of the group within its service that the engine at an address belongs to; undefined if none is known. */
 	getGroup(service: string, address: string): string | undefined {
 		const name = this.groups.get(address);
 		return name?.startsWith(`${service}/`) ? name.slice(service.length + 1) : undefined;
--- a/src/fleet/pace.ts
+++ b/src/fleet/pace.ts
@@ -1,12 +1,12 @@
 import {z} from 'zod';
 
-/** How long a target that writes for several requests together takes, as it is published. */
+/** Step times of a target that generates the streams of several requests in one batch, as published in the configuration. */
 const Pace = z.object({
-	/** Time of one step with nothing to write, milliseconds. */
+	/** Duration of a step with an empty batch, milliseconds. */
 	stepMs: z.number().min(0),
-	/** What each request that is being written adds to a step, milliseconds. */
+	/** Time that each request in the batch adds to a step, milliseconds. */
 	requestMs: z.number().positive(),
-	/** Steps from one event of a stream to the next. */
+	/** Steps between two events of a stream. */
 	stepsPerEvent: z.number().positive(),
 });
 type Pace = z.infer<typeof Pace>;
--- a/src/fleet/route-table.ts
+++ b/src/fleet/route-table.ts
@@ -2,9 +2,9 @@
 import {type Service} from './service.js';
 import {type RoutingConfiguration} from './routing-configuration.js';
 
-/** One version of the configuration, indexed for looking up requests. */
+/** One version of the configuration, indexed for request routing. */
 export class RouteTable {
-	/** Routes of each host, the longest prefix first. */
+	/** Routes of each host, sorted by descending prefix length. */
 	private readonly routesByHost = new Map<string, Route[]>();
 	private readonly organisationByKey = new Map<string, string>();
 
@@ -30,22 +30,22 @@
 		return this.configuration.version;
 	}
 
-	/** Whether callers must show a key on routes that are not public. */
+	/** Whether callers must send an API key on routes that are not public. */
 	get needsKeys(): boolean {
 		return this.configuration.organisations !== undefined;
 	}
 
-	/** The route with the longest prefix that begins the path; undefined when none does. */
+	/** The route with the longest prefix that matches the path; undefined if none matches. */
 	findRoute(host: string, path: string): Route | undefined {
 		return this.routesByHost.get(host)?.find(route => path.startsWith(route.prefix));
 	}
 
-	/** What operators have configured for a service. */
+	/** The configuration of a service; undefined if there is none. */
 	findService(name: string): Service | undefined {
 		return this.configuration.services.find(service => service.name === name);
 	}
 
-	/** The organisation that holds a key. */
+	/** The organisation that an API key belongs to; undefined if the key is not known. */
 	findOrganisation(key: string): string | undefined {
 		return this.organisationByKey.get(key);
 	}
--- a/src/fleet/target-directory.ts
+++ b/src/fleet/target-directory.ts
@@ -1,44 +1,44 @@
 import {type Target} from './target.js';
 
 type TargetRecord = {target: Target; missingSince: number | undefined; isGone: boolean};
-/** One life of a target that leaves, and since when it is not registered. */
+/** An incarnation that is leaving, and the time since which it is not registered, milliseconds. */
 type Departure = {readonly bornAt: number | undefined; unregisteredAt: number | undefined};
 
 /**
- * After the store was away, registrations that lapsed meanwhile come back within about two seconds (the platform's
- * figure) of its return, which is noticed a little later; only then is a missing target taken as gone, milliseconds. A
- * target that has left on purpose cannot be told from those, and may be sent nothing two seconds after it said so: the
- * rest is for the next look at the directory (each 100 ms) and for the way of a request that was sent just before.
+ * Time after an outage of the store before a missing target counts as gone, milliseconds. By the platform's specification, registrations
+ * that expired during an outage are written again within about two seconds of its end, which is noticed slightly later. A target that
+ * left on purpose cannot be distinguished from those and must receive nothing 2000 ms after its notice; the remaining 300 ms cover the
+ * interval between two checks of the directory (100 ms) and the transit time of a request sent just before.
  */
 const reregistrationGraceMs = 1700;
 
 /**
- * That a target leaves counts for so long after its registration has gone, milliseconds: one that lapsed while the store was away, or
- * that an older copy of the store holds, may still come back as if it had never left.
+ * How long a departure is remembered after the registration has disappeared, milliseconds. A registration that expired during an outage
+ * of the store, or that a restored backup holds, may reappear as if the target had never left.
  */
 const departureRetentionMs = 60_000;
 
 /**
- * Peers are told for so long after its registration has gone, milliseconds: one that missed the leaving while the store was away may
- * take the target for one that registers again.
+ * How long peers are informed of a departure after the registration has disappeared, milliseconds. A peer that missed it during an outage
+ * of the store could mistake the target for one that is registering again.
  */
 const departureAnnouncementMs = 5000;
 
 const isLaterIncarnation = ({bornAt}: Target, than: Target): boolean => bornAt !== undefined && bornAt > (than.bornAt ?? Number.NEGATIVE_INFINITY);
 
-/** The registered targets of all services. */
+/** The registered targets of all services. Times are in milliseconds. */
 export class TargetDirectory {
 	private readonly records = new Map<string, TargetRecord>();
 	private readonly departures = new Map<string, Departure>();
 	private byService = new Map<string, Target[]>();
 
 	/**
-	 * Takes the whole list of registrations.
+	 * Replaces the registrations.
 	 *
-	 * @param targets - every target registered now, the one written last at the end
-	 * @param now - the present, milliseconds
-	 * @param isStoreRecovering - whether the store has just returned from an outage, so that lapsed registrations may come back
-	 * @returns targets that may no longer be sent anything, and those that have started again under their ids
+	 * @param targets - all registered targets, in order of writing
+	 * @param now - the present time, milliseconds
+	 * @param isStoreRecovering - whether the store just recovered from an outage, so that expired registrations may reappear
+	 * @returns `gone`: targets that must not be sent anything any more; `renewed`: targets that restarted under their ids
 	 */
 	replace(targets: readonly Target[], now: number, isStoreRecovering: boolean): {readonly gone: Target[]; readonly renewed: Target[]} {
 		const registered = new Set(targets.map(({id}) => id));
@@ -51,10 +51,10 @@
 				renewed.push(target);
 			}
 
-			// A life that is gone stays so, however long its registration lingers.
+			// An incarnation that is gone stays gone, even while its registration remains.
 			const isGone = known !== undefined && known.isGone && !isRestarted;
-			const isFormerLife = known !== undefined && isLaterIncarnation(known.target, target);
-			this.records.set(target.id, {target: isFormerLife ? known.target : target, missingSince: undefined, isGone});
+			const isOutdated = known !== undefined && isLaterIncarnation(known.target, target);
+			this.records.set(target.id, {target: isOutdated ? known.target : target, missingSince: undefined, isGone});
 		}
 
 		for (const [id, entry] of this.records) {
@@ -66,7 +66,7 @@
 		return {gone: this.expire(now), renewed};
 	}
 
-	/** Drops a life of a target that is known to be gone, whatever its registration says. */
+	/** Marks an incarnation of a target as gone, regardless of its registration. */
 	markGone({id, bornAt}: Target): void {
 		const entry = this.records.get(id);
 		if (entry && entry.target.bornAt === bornAt) {
@@ -76,14 +76,14 @@
 	}
 
 	/**
-	 * Notes that a life of a target has said that it leaves: it gets nothing new from now on, whatever its registration says.
+	 * Records that an incarnation of a target is leaving: it gets no new requests, regardless of its registration.
 	 *
-	 * @returns whether that was not known yet
+	 * @returns whether that is news
 	 */
 	noteDeparture({id, bornAt}: Pick<Target, 'id' | 'bornAt'>, now: number): boolean {
 		const known = this.records.get(id)?.target;
-		const isFormerLife = known !== undefined && known.bornAt !== bornAt;
-		if (isFormerLife || this.hasLeft({id, bornAt})) {
+		const isOtherIncarnation = known !== undefined && known.bornAt !== bornAt;
+		if (isOtherIncarnation || this.hasLeft({id, bornAt})) {
 			return false;
 		}
 
@@ -92,13 +92,13 @@
 		return true;
 	}
 
-	/** Lives of targets that leave, for peers: those that are registered, or were lately. */
+	/** Incarnations that are leaving, for peers: those that are registered or were until recently. */
 	listDepartures(now: number): Array<Pick<Target, 'id' | 'bornAt'>> {
 		const isAnnounced = ({unregisteredAt}: Departure): boolean => unregisteredAt === undefined || now - unregisteredAt <= departureAnnouncementMs;
 		return [...this.departures].filter(([, leave]) => isAnnounced(leave)).map(([id, {bornAt}]) => ({id, ...(bornAt !== undefined && {bornAt})}));
 	}
 
-	/** Drops targets whose registration did not come back in time; gives those. */
+	/** Drops targets whose registration did not reappear in time; returns them. */
 	expire(now: number): Target[] {
 		const gone: Target[] = [];
 		for (const [id, {target, missingSince: lostAt}] of this.records) {
@@ -113,7 +113,7 @@
 		return gone;
 	}
 
-	/** Targets of a service that take new requests. */
+	/** Targets of a service that accept new requests. */
 	list(service: string): readonly Target[] {
 		return this.byService.get(service) ?? [];
 	}
@@ -137,8 +137,8 @@
 	}
 
 	/*
-	 * A target that restarts at its address, or another that is given it, registers before the registration of the one
-	 * before has lapsed: of several at one address the last that is not known to be gone counts.
+	 * A target that restarts, or another one that reuses its address, registers before the previous registration has expired. Of several
+	 * targets at one address, the last one that is not known to be gone is used.
 	 */
 	private updateIndex(): void {
 		const byAddress = new Map<string, Target>();
--- a/src/fleet/target.ts
+++ b/src/fleet/target.ts
@@ -1,19 +1,19 @@
 import {z} from 'zod';
 
-/** A target as it has registered itself. */
+/** A target, as registered in the store. */
 const Target = z.object({
 	id: z.string().min(1),
-	/** When this life of the target began, Unix milliseconds; it may start again under its id. Absent where targets do not tell. */
+	/** Start time of this incarnation, Unix milliseconds; a target may restart under its id. Absent if targets do not publish it. */
 	bornAt: z.int().optional(),
 	service: z.string().min(1),
 	address: z.string().min(1),
 	port: z.int().min(1).max(65_535),
 	availabilityZone: z.string(),
-	/** Requests that it runs at once. */
+	/** Number of requests that it runs concurrently. */
 	slots: z.int().min(1),
-	/** The group of ranks that it works in lock step with, as far as known; not part of its registration. */
+	/** Its group of ranks, which run in lock step; undefined if not known. Not part of the registration. */
 	group: z.string().optional(),
-	/** Whether it takes no new requests, since it is about to stop. */
+	/** Whether it is draining before it stops and accepts no new requests. */
 	isLeaving: z.boolean(),
 });
 type Target = z.infer<typeof Target>;
--- a/src/key-value/change-feed.ts
+++ b/src/key-value/change-feed.ts
@@ -3,18 +3,18 @@
 import {type RemovedKey} from './removed-key.js';
 import {type StoredValue} from './stored-value.js';
 
-/** What one wait for changes brought, and the revision to go on from. */
+/** The changes from one wait, and the revision to continue from. */
 type ChangePage = {readonly kind: 'changes'; readonly era: number; readonly asOf: number; readonly changes: ReadonlyArray<StoredValue | RemovedKey>};
-/** The service no longer has the history asked for. */
+/** The service no longer has the requested change history. */
 type LostHistory = {readonly kind: 'forgotten'; readonly era: number};
 type Changes = ChangePage | LostHistory;
 
-/** All keys under a prefix, and the service's revision when the reading began. */
+/** All keys under a prefix, and the service's revision at the start of the read. */
 type Listing = {readonly era: number; readonly asOf: number; readonly items: readonly StoredValue[]};
 
 /**
- * The key-value service as a source of changes. Every function is one or more calls that the platform counts. The era rises each
- * time the service comes back from an older copy and gives out revisions again; it is 0 where the service does not tell.
+ * The key-value service as a source of changes. Every function makes one or more calls, which the platform counts. The era increases each
+ * time the service is restored from an older backup and assigns revision numbers again; it is 0 if the service does not report one.
  */
 export type ChangeFeed = {
 	/** Reads all keys that start with `prefix`. */
--- a/src/key-value/create-etcd-key-value.ts
+++ b/src/key-value/create-etcd-key-value.ts
@@ -6,7 +6,7 @@
 import {PlatformError} from './platform-error.js';
 import {type StoredValue} from './stored-value.js';
 
-/* The gateway writes 64-bit integers as strings. */
+/* The gateway encodes 64-bit integers as strings. */
 const integer = z.coerce.number();
 const pair = z.object({key: z.string(), value: z.string().default(''), mod_revision: integer.default(0)});
 const rangeAnswer = z.object({kvs: z.array(pair).default([])});
@@ -18,7 +18,7 @@
 const toBase64 = (text: string): string => Buffer.from(text, 'utf8').toString('base64');
 const fromBase64 = (text: string): string => Buffer.from(text, 'base64').toString('utf8');
 
-/** The smallest key after all that start with `prefix` (etcd's range end). */
+/** The smallest key after all keys that start with `prefix` (etcd's range end). */
 const findRangeEnd = (prefix: string): string => {
 	const bytes = Buffer.from(prefix, 'utf8');
 	bytes[bytes.length - 1]++;
@@ -34,12 +34,12 @@
 type Options = {
 	readonly url: string;
 	readonly timeoutMs: number;
-	/** Called for each call made, for the platform budget. */
+	/** Called for each call made, to count it against the platform's budget. */
 	readonly onCall: (operation: string) => void;
 };
 
 /**
- * Speaks to the key-value service through etcd v3's JSON gateway.
+ * Creates a client of the key-value service that uses etcd v3's JSON gateway.
  *
  * @see https://etcd.io/docs/v3.5/dev-guide/api_grpc_gateway/
  */
@@ -56,7 +56,7 @@
 		});
 	};
 
-	/* A refused connection proves that nothing was written; any other failure of a write leaves that open. */
+	/* A refused connection proves that nothing was written; after any other failure the outcome of a write is unknown. */
 	const call = async <Schema extends z.ZodType>(path: string, body: unknown, schema: Schema): Promise<Result<z.infer<Schema>, PlatformError>> => {
 		try {
 			const answer = await open(path, body);
--- a/src/key-value/key-value.ts
+++ b/src/key-value/key-value.ts
@@ -5,18 +5,18 @@
 
 type Answer<Value> = Promise<Result<Value, PlatformError>>;
 
-/** The platform's key-value service, as the system uses it. Every function is one call that the platform counts. */
+/** The operations of the platform's key-value service that the system uses. Every function makes one call, which the platform counts. */
 export type KeyValue = {
-	/** Reads one key; undefined when absent. */
+	/** Reads one key; undefined if absent. */
 	get(key: string): Answer<StoredValue | undefined>;
 	/** Reads all keys that start with `prefix`. */
 	list(prefix: string): Answer<StoredValue[]>;
-	/** Writes if the conditions hold; gives the new revision, or undefined when they did not hold. */
+	/** Writes if the conditions hold; returns the new revision, or undefined if they did not hold. */
 	commit(transaction: Transaction): Answer<number | undefined>;
-	/** Grants a lease of `seconds`; keys put under it vanish when it lapses. */
+	/** Grants a lease of `seconds`; keys attached to it are deleted when it expires. */
 	grantLease(seconds: number): Answer<string>;
-	/** Renews a lease; false when it has lapsed. */
+	/** Renews a lease; returns false if it has expired. */
 	keepLease(lease: string): Answer<boolean>;
-	/** Waits for changes under `prefix` after `revision` and reports each; resolves when the watch breaks. */
+	/** Watches keys under `prefix` for changes after `revision` and reports each; resolves when the watch ends. */
 	watch(prefix: string, revision: number, onChange: (change: StoredValue) => void, signal: AbortSignal): Answer<void>;
 };
--- a/src/key-value/platform-error.ts
+++ b/src/key-value/platform-error.ts
@@ -1,4 +1,4 @@
-/** A call to the platform that gave no usable answer. `written` says whether a write may have taken effect. */
+/** A failed call to the platform. `written` is `no` if a write certainly had no effect, otherwise `unknown`. */
 export class PlatformError extends Error {
 	override readonly name = 'PlatformError';
 
--- a/src/key-value/registry.ts
+++ b/src/key-value/registry.ts
@@ -4,10 +4,10 @@
 import {type Revision} from './revision.js';
 import {type Transaction} from './transaction.js';
 
-/** The calls by which a process writes into the platform's key-value service. */
+/** The operations with which a process registers itself in the platform's key-value service. */
 export type Registry = Pick<KeyValue, 'get' | 'keepLease'> & {
-	/** Writes if the conditions hold; gives the new revision, or undefined when they did not hold. */
+	/** Writes if the conditions hold; returns the new revision, or undefined if they did not hold. */
 	commit(transaction: Transaction): Promise<Result<Revision | undefined, PlatformError>>;
-	/** Grants a lease of `milliseconds`; keys put under it vanish when it lapses. */
+	/** Grants a lease of `milliseconds`; keys attached to it are deleted when it expires. */
 	grantLeaseFor(milliseconds: number): Promise<Result<string, PlatformError>>;
 };
--- a/src/key-value/removed-key.ts
+++ b/src/key-value/removed-key.ts
@@ -1,4 +1,4 @@
-/** A key that the key-value service no longer holds. */
+/** Removal of a key from the key-value service. */
 export type RemovedKey = {
 	readonly key: string;
 	/** Revision at which it was removed. */
--- a/src/key-value/revision.ts
+++ b/src/key-value/revision.ts
@@ -1,8 +1,8 @@
 import {z} from 'zod';
 
-/** A moment in the history of the key-value service. Numbers are given out again in a new era, so that only both together tell which of two is later. */
+/** A position in the history of the key-value service. A new era assigns numbers again, so two revisions are compared by era first. */
 const Revision = z.object({
-	/** Rises each time the service comes back from an older copy; 0 where it does not tell. */
+	/** Increases each time the service is restored from an older backup; 0 if the service does not report it. */
 	era: z.int().min(0),
 	/** Number of the service's last change. */
 	number: z.int().min(0),
--- a/src/membership/membership.ts
+++ b/src/membership/membership.ts
@@ -13,22 +13,22 @@
 	readonly incarnation: string;
 };
 
-/** Silence after which an entry is suspect, and dead, while there are few of them. */
+/** Time without a heartbeat after which an entry is suspect, and after which it is dead, milliseconds, up to `unscaledMembers`. */
 const suspectAfterMs = 6000;
 const deadAfterMs = 15_000;
-/** Entries up to which these times hold; news of each gets rarer in proportion beyond. */
+/** Number of entries up to which these times apply. Beyond it they grow in proportion, as the counter of each entry is passed on less often. */
 const unscaledMembers = 16;
-/** Members whose counters one heartbeat carries. */
+/** Maximum number of other entries whose counters one heartbeat carries. */
 const maximumCounters = 4;
-/** Peers in the own zone, and in each other zone, that heartbeats go to. */
+/** Number of peers in the own availability zone, and in each other one, that receive heartbeats. */
 const localPeerCount = 3;
 const remotePeerCount = 1;
 
 /**
- * The entries as one entry sees them. The platform's list says who may exist; heartbeats say who lives, either
- * directly or by a counter that a third entry passes on.
+ * Gossip-based failure detector for the other entries. The platform's list names the entries that may exist; heartbeats show which are
+ * live, either directly or by a counter that a third entry passes on. Times are in milliseconds.
  *
- * @see https://www.cs.cornell.edu/home/rvr/papers/GossipFD.pdf the counters
+ * @see https://www.cs.cornell.edu/home/rvr/papers/GossipFD.pdf for the heartbeat counters
  */
 export class Membership {
 	private readonly members = new Map<string, Member>();
@@ -37,7 +37,7 @@
 
 	constructor(private readonly options: MembershipOptions) {}
 
-	/** Takes the platform's list. It lags: an entry that is missing from it stays while it is heard. */
+	/** Updates the members from the platform's list. The list lags: an entry that is missing from it is kept while it is live. */
 	noteList(vms: readonly Vm[], now: number): void {
 		for (const member of this.members.values()) {
 			member.isListed = false;
@@ -66,7 +66,7 @@
 		}
 	}
 
-	/** Takes a heartbeat and what it passes on. */
+	/** Processes a heartbeat and the counters that it passes on. */
 	receiveHeartbeat(heartbeat: Heartbeat, now: number): void {
 		this.noteCounter(heartbeat, now);
 		for (const peerCounter of heartbeat.peers) {
@@ -74,7 +74,7 @@
 		}
 	}
 
-	/** The state of another entry at `now` (milliseconds since the epoch). */
+	/** The state of another entry at `now`. */
 	getState(id: string, now: number): PeerState {
 		const heardAt = this.members.get(id)?.lastHeartbeatAt;
 		if (heardAt === undefined) {
@@ -90,17 +90,17 @@
 		return silenceMs < deadAfterMs * timeoutScale ? 'suspect' : 'dead';
 	}
 
-	/** Where another entry is; undefined when it is not known. */
+	/** The VM of another entry; undefined if it is not known. */
 	getVm(id: string): Vm | undefined {
 		return this.members.get(id)?.vm;
 	}
 
-	/** Every known entry but this one. */
+	/** All known entries except this one. */
 	listPeers(): Vm[] {
 		return [...this.members.values()].map(({vm}) => vm);
 	}
 
-	/** Ids of the entries that are heard or were just listed, this one included; in one zone if given. */
+	/** Ids of the entries presumed live, including this one; only those of one availability zone if given. */
 	listLive(now: number, availabilityZone?: string): string[] {
 		const live = [...this.members]
 			.filter(([id, {vm}]) => (availabilityZone === undefined || vm.availabilityZone === availabilityZone) && this.isPresumedLive(id, now))
@@ -109,7 +109,7 @@
 		return isOwnZone ? [...live, this.options.id] : live;
 	}
 
-	/** Share of the known availability zones from which an entry is heard, 1 when none is cut off. */
+	/** Share of the known availability zones that have an entry presumed live; 1 if none is partitioned. */
 	getReachableZoneShare(now: number): number {
 		const known = new Set([this.options.availabilityZone]);
 		const reachable = new Set([this.options.availabilityZone]);
@@ -123,7 +123,7 @@
 		return reachable.size / known.size;
 	}
 
-	/** The peers that this entry sends heartbeats to: a few of its zone and one of each other zone. */
+	/** Peers that heartbeats go to: a few in the own availability zone and one in each other zone. */
 	pickHeartbeatPeers(now: number): Vm[] {
 		const byZone = new Map<string, Vm[]>();
 		for (const {vm} of this.members.values()) {
@@ -140,7 +140,7 @@
 		});
 	}
 
-	/** Whom the next heartbeat goes to: one peer of the zone and one of the others, each in turn. */
+	/** Receivers of the next heartbeat, by round robin: one peer in the own zone and one in another. */
 	pickHeartbeatReceivers(now: number): Vm[] {
 		this.round++;
 		const peers = this.pickHeartbeatPeers(now);
@@ -149,7 +149,7 @@
 		return [local, remote].filter(({length}) => length > 0).map(list => list[this.round % list.length]);
 	}
 
-	/** Makes the next heartbeat; `random` picks whom it passes on. */
+	/** Makes the next heartbeat; `random` selects the counters that it passes on. */
 	makeHeartbeat(table: {readonly tableVersion: number; readonly changeId: string}, random: () => number, now: number): Heartbeat {
 		this.counter++;
 		const live = [...this.members].filter(([id]) => this.getState(id, now) === 'live');
@@ -165,12 +165,12 @@
 
 	private isPresumedLive(id: string, now: number): boolean {
 		const state = this.getState(id, now);
-		// An entry that starts has heard nobody yet: it must not take itself for the only one.
+		// An entry that has just started has received no heartbeat yet; it must not conclude that it is alone.
 		const isNew = state === 'unheard' && now - this.members.get(id)!.listedAt < deadAfterMs;
 		return isNew || state === 'live' || state === 'suspect';
 	}
 
-	/* Incarnations begin with their time of start, so that the later one is the greater. */
+	/* Incarnation ids begin with the start time, so a later one compares greater. */
 	private noteCounter({id, incarnation, counter}: PeerCounter, now: number): void {
 		const member = this.members.get(id);
 		if (!member || incarnation < member.incarnation) {
--- a/src/membership/peer-pool.ts
+++ b/src/membership/peer-pool.ts
@@ -14,16 +14,17 @@
 type PeerLink = {
 	readonly link: PersistentLink;
 	readonly vm: Vm;
-	/** Messages for a link that is being opened for the first time; undefined once that has succeeded or failed. */
+	/** Messages queued while the link is opened for the first time; undefined once that succeeded or failed. */
 	queue: LinkMessage[] | undefined;
 	usedAt: number;
 };
 
-/** A link that nobody used for this long is closed, milliseconds. */
+/** Time without use after which a link is closed, milliseconds. */
 const idleTimeoutMs = 60_000;
+/** Maximum number of messages queued for a link that is being opened. */
 const maximumQueuedMessages = 16;
 
-/** The links to other entries, opened when first needed and closed when long unused. */
+/** The links to other entries, opened on first use and closed when idle. */
 export class PeerPool {
 	private readonly links = new Map<string, PeerLink>();
 
@@ -33,7 +34,7 @@
 		return this.links.size;
 	}
 
-	/** Sends a message to an entry, opening a link if need be; false when the entry cannot be reached now. */
+	/** Sends a message to an entry, opening a link if needed; returns false if the entry cannot be reached now. */
 	send(vm: Vm, message: LinkMessage): boolean {
 		const known = this.links.get(vm.id);
 		const isMoved = known && (known.vm.address !== vm.address || known.vm.linkPort !== vm.linkPort);
@@ -58,7 +59,7 @@
 		}
 	}
 
-	/** Closes links that were not used for long. */
+	/** Closes idle links; `now` in milliseconds. */
 	tick(now: number): void {
 		for (const [id, {link, usedAt}] of this.links) {
 			if (now - usedAt > idleTimeoutMs) {
--- a/src/membership/peer-state.ts
+++ b/src/membership/peer-state.ts
@@ -1,2 +1,2 @@
-/** What is known of another entry: heard lately, silent for a while, silent for long, or never heard. */
+/** State of another entry: recent heartbeat, heartbeat overdue, presumed dead, or no heartbeat received yet. */
 export type PeerState = 'live' | 'suspect' | 'dead' | 'unheard';
--- a/src/once/claim-store.ts
+++ b/src/once/claim-store.ts
@@ -9,11 +9,12 @@
 
 type NewClaim = Omit<Claim, 'at' | 'expiresAt'>;
 
+/** Maximum number of attempts to write a claim. */
 const maximumAttempts = 3;
 
-/** The claims on idempotency keys in the key-value service. */
+/** Reads and writes the claims on idempotency keys in the key-value service. */
 export class ClaimStore {
-	/** The key under which a claim is kept. */
+	/** The store key of a claim. */
 	static getKey(service: string, organisation: string, key: string): string {
 		const name = createHash('sha256').update(key).digest('hex').slice(0, 32);
 		return `wardswitch/claims/${service}/${organisation}/${name}`;
@@ -27,12 +28,13 @@
 	}
 
 	/**
-	 * Puts a claim if the key still has `revision` (0: absent).
+	 * Writes a claim if the key still has `revision` (0: absent).
 	 *
-	 * A lost answer is settled by reading back. Trying again is safe: each try has the same owner and the same
-	 * condition, so that at most one takes effect.
+	 * After a lost answer the key is read back. Retrying is safe: all attempts have the same owner and the same condition, so at most one
+	 * takes effect.
 	 *
-	 * @returns the claim now held: ours, or the one that came first
+	 * @param now - milliseconds since the epoch
+	 * @returns the claim that the store holds now: the given one, or one that was written first
 	 */
 	async put(key: string, claim: NewClaim, revision: number, now: number): Promise<Result<HeldClaim, PlatformError>> {
 		const lease = await this.lease.get(now);
@@ -65,7 +67,7 @@
 		return err(failure ?? new PlatformError('claim: the key changed at each try', 'no'));
 	}
 
-	/** Gives a claim up that was never used; false when someone else has it, or that is not known. */
+	/** Deletes a claim that was never used; returns false if the claim has another owner or the outcome is unknown. */
 	async release(key: string, revision: number): Promise<boolean> {
 		const transaction: Transaction = {conditions: [{key, revision}], puts: [], deletes: [key]};
 		const answer = await this.keyValue.commit(transaction);
--- a/src/once/claim.ts
+++ b/src/once/claim.ts
@@ -1,17 +1,17 @@
 import {z} from 'zod';
 
-/** Who may run the request with an idempotency key, and where. */
+/** The owner of an idempotency key, and the target at which it may run its request; stored as JSON. */
 const Claim = z.strictObject({
 	/** Id of the request that owns the key. */
 	owner: z.string(),
-	/** SHA-256 of method, path and body; a reused key must bring the same. */
+	/** SHA-256 of method, path and body; a repeat of the key must have the same hash. */
 	bodyHash: z.string(),
-	/** The one target process that the owner may be sent to. */
+	/** The only target process that the owner's request may be sent to. */
 	target: z.string(),
 	incarnation: z.string(),
-	/** When the owner claimed, milliseconds since the epoch. */
+	/** When the claim was made, milliseconds since the epoch. */
 	at: z.number(),
-	/** After this the target refuses the owner, milliseconds since the epoch. */
+	/** Time after which the target refuses the owner's request, milliseconds since the epoch. */
 	expiresAt: z.number(),
 });
 type Claim = z.infer<typeof Claim>;
--- a/src/once/held-claim.ts
+++ b/src/once/held-claim.ts
@@ -1,6 +1,6 @@
 import {type Claim} from './claim.js';
 
-/** A claim as the platform holds it; `revision` fences older owners. */
+/** A stored claim; writes conditional on `revision` fence off earlier owners. */
 export type HeldClaim = {
 	readonly claim: Claim;
 	readonly revision: number;
--- a/src/once/make-claim-guard.ts
+++ b/src/once/make-claim-guard.ts
@@ -10,12 +10,13 @@
 	readonly store: ClaimStore;
 	/** Key of the claim in the key-value service. */
 	readonly key: string;
-	/** Id of the request that wants the key. */
+	/** Id of the request that claims the key. */
 	readonly owner: string;
 	readonly bodyHash: string;
 	readonly clock: () => number;
 };
 
+/** Retry-After of the answer while claims cannot be written, milliseconds. */
 const retryAfterMs = 1000;
 
 const makeReuseProblem = (): Problem => new Problem({
@@ -36,8 +37,8 @@
 });
 
 /**
- * Guards a request by a claim on its key in the key-value service. The claim names one target process; whoever
- * finds it there asks that process, which alone knows whether the owner came.
+ * Guards a request by a claim on its idempotency key in the key-value service. The claim names one target process. A request that finds
+ * another owner's claim joins at that process, which alone knows whether the owner's request has reached it.
  */
 export function makeClaimGuard(options: GuardOptions): RunGuard {
 	let ownClaim: HeldClaim | undefined;
--- a/src/once/make-ticket-guard.ts
+++ b/src/once/make-ticket-guard.ts
@@ -4,7 +4,7 @@
 import {type RunGuard} from './run-guard.js';
 import {type Ticket} from './ticket.js';
 
-/** Guards a request by a ticket: it runs at the ticket's target process or nowhere, and that process remembers it. */
+/** Guards a request by a ticket: it runs only at the ticket's target process, which records that the ticket was used. */
 export function makeTicketGuard(ticket: Ticket): RunGuard {
 	const key = `ticket/${ticket.id}`;
 	let isUsed = false;
@@ -47,7 +47,7 @@
 				return 'used';
 			}
 
-			// Only the target process knows of earlier copies; its refusal says that there was none.
+			// Only the target process knows of earlier requests with this ticket; its refusal proves that there was none.
 			return hasRequestedRun ? 'unused' : 'unknown';
 		},
 	};
--- a/src/once/make-unkeyed-guard.ts
+++ b/src/once/make-unkeyed-guard.ts
@@ -1,7 +1,7 @@
 import {ok} from 'neverthrow';
 import {type RunGuard} from './run-guard.js';
 
-/** The guard of a request that has no key: it may run again only if the caller said so. */
+/** Guard of a request without an idempotency key: it may run again only if the caller declared it repeatable. */
 export function makeUnkeyedGuard(isRepeatable: boolean): RunGuard {
 	return {
 		isRepeatable,
--- a/src/once/read-ticket.ts
+++ b/src/once/read-ticket.ts
@@ -2,7 +2,7 @@
 import {createHmac, timingSafeEqual} from 'node:crypto';
 import {Ticket} from './ticket.js';
 
-/** Reads a ticket; undefined when it was not made with the link key. */
+/** Verifies and decodes a ticket; undefined if it was not signed with the link key (hexadecimal). */
 export function readTicket(text: string, linkKey: string): Ticket | undefined {
 	const [body, signature] = text.split('.');
 	const expected = createHmac('sha256', Buffer.from(linkKey, 'hex')).update(`ticket.${body}`).digest();
--- a/src/view/describe-retained.ts
+++ b/src/view/describe-retained.ts
@@ -1,9 +1,9 @@
 import {type ViewSnapshot} from './view-snapshot.js';
 
-/** Most keys that are named. */
+/** Maximum number of keys named in one log line. */
 const maximumNamedKeys = 5;
 
-/** Names the keys on which a process goes on with what it knew, for a log line; empty where there are none. */
+/** Describes the keys for which a view retains its own values, as the end of a log line; empty if there are none. */
 export function describeRetained(retained: NonNullable<ViewSnapshot['retained']>): string {
 	if (retained.length === 0) {
 		return '';
@@ -11,5 +11,5 @@
 
 	const named = retained.slice(0, maximumNamedKeys).map(({key, item}) => item ? key : `${key} as removed`);
 	const more = retained.length > maximumNamedKeys ? ` and ${retained.length - maximumNamedKeys} more` : '';
-	return `; kept against it until written again: ${named.join(', ')}${more}`;
+	return `; retained until written again: ${named.join(', ')}${more}`;
 }
--- a/src/view/item-comparator.ts
+++ b/src/view/item-comparator.ts
@@ -1,12 +1,12 @@
 import {type StoredValue} from '../key-value/stored-value.js';
 
-/** What items of the store stand for, as far as it decides which of two is to be believed. */
+/** Decides which of two items of the store is more recent, by their contents instead of their revisions. */
 export type ItemComparator = {
 	/**
-	 * Whether `offered` says less than `known`, so that it never replaces it. `offered` is undefined where a copy of the store lacks the
-	 * key; the result is undefined where the items do not tell.
+	 * Whether `offered` is older than `known`, so that it must never replace it. `offered` is undefined if the restored store lacks the
+	 * key. Undefined if the contents do not show which is older.
 	 */
 	readonly isOlder: (known: StoredValue, offered: StoredValue | undefined) => boolean | undefined;
-	/** Whether `offered` stands for what was removed, and not for something that came after it. */
+	/** Whether `offered` describes the incarnation that was removed, or an earlier one, and not a later one under the same key. */
 	readonly isSameIncarnation: (removed: StoredValue, offered: StoredValue) => boolean;
 };
--- a/src/view/removed-items.ts
+++ b/src/view/removed-items.ts
@@ -4,10 +4,10 @@
 
 type Removed = {readonly item: StoredItem; readonly at: number};
 
-/** What was removed is remembered for so long, milliseconds: a copy from which the store comes back may hold it again. */
+/** How long a removal is remembered, milliseconds: a store restored from a backup may hold the item again. */
 const retentionMs = 60_000;
 
-/** Items that were removed lately, as they were last known. */
+/** Recently removed items, with their last known values. */
 export class RemovedItems {
 	private readonly entries = new Map<string, Removed>();
 
@@ -17,32 +17,31 @@
 		return this.entries.get(key);
 	}
 
-	/** Notes that an item has been removed. */
+	/** Records the removal of an item; `now` in milliseconds. */
 	note(item: StoredItem, now: number): void {
 		this.entries.set(item.key, {item, at: now});
 	}
 
-	/** Whether an item stands for what is known to have been removed. */
+	/** Whether an item describes something that is known to have been removed. */
 	hasRemoved(item: StoredItem): boolean {
 		const removed = this.entries.get(item.key)?.item;
 		return removed !== undefined && this.guard.isSameIncarnation(removed, item);
 	}
 
-	/** All of them. */
 	values(): Iterable<Removed> {
 		return this.entries.values();
 	}
 
-	/** Those that would not be believed if a copy of the store held them again, as a peer may take them over. */
+	/** Removals that the comparator recognises if a restored store holds the items again, in the form sent to peers. */
 	list(now: number): NonNullable<ViewSnapshot['removed']> {
 		return [...this.entries.values()].filter(({item}) => this.guard.isSameIncarnation(item, item)).map(({item, at}) => ({item, agoMs: now - at}));
 	}
 
 	/**
-	 * Takes over what a peer knows to have been removed.
+	 * Adds the removals that a peer knows.
 	 *
-	 * @param stored - what the store holds, as far as this process knows: what was written after a removal is not removed
-	 * @returns what was not known
+	 * @param stored - the store's items as this process knows them; a removal older than a key's last write is ignored
+	 * @returns the removals that were new
 	 */
 	merge(offered: ViewSnapshot['removed'], stored: ReadonlyMap<string, StoredItem>, now: number): readonly Removed[] {
 		const added = (offered ?? [])
@@ -55,7 +54,7 @@
 		return added;
 	}
 
-	/** Forgets what is old. */
+	/** Deletes removals older than the retention period. */
 	prune(now: number): void {
 		for (const [key, {at}] of this.entries) {
 			if (now - at > retentionMs) {
--- a/src/view/retained-items.ts
+++ b/src/view/retained-items.ts
@@ -9,30 +9,30 @@
 type Items = ReadonlyMap<string, StoredItem>;
 
 type Retained = {
-	/** What counts instead of what the store holds; undefined where the key counts as removed. */
+	/** The value that overrides the stored one; undefined if the key is treated as removed. */
 	readonly item: StoredItem | undefined;
-	/** When what the store holds counts after all, milliseconds; infinite where only something newer ends it. */
+	/** When the override expires, milliseconds; infinite if it holds until a newer value is written. */
 	readonly until: number;
 };
 
 type Rollback = {
-	/** What counted before, what the store holds now, and what was removed lately. */
+	/** The items in effect before the rollback, those that the store holds now, and recent removals. */
 	readonly before: Items;
 	readonly stored: Items;
 	readonly removed: RemovedItems;
 };
 
-/** A registration that nobody renews has lapsed after this time, milliseconds; one that a copy holds again is not believed before. */
+/** Time within which a registration that is not renewed expires, milliseconds. A removed one that a backup holds again is ignored this long. */
 const registrationExpiryMs = 10_000;
 
 /**
- * Keys on which a process goes on with what it knew against what the store holds, since the store has come back from an older copy, or
- * holds something that was replaced already.
+ * Values that this process uses instead of the store's, because the store was restored from an older backup or holds a value that was
+ * already replaced.
  */
 export class RetainedItems {
 	private readonly entries = new Map<string, Retained>();
 
-	constructor(private readonly guard: ItemComparator) {}
+	constructor(private readonly comparator: ItemComparator) {}
 
 	get size(): number {
 		return this.entries.size;
@@ -42,12 +42,12 @@
 		return this.entries.get(key);
 	}
 
-	/** Keeps an item until something newer is written. */
+	/** Retains an item until a newer one is written. */
 	retain(item: StoredItem): void {
 		this.entries.set(item.key, {item, until: Number.POSITIVE_INFINITY});
 	}
 
-	/** What counts, by key. */
+	/** The store's items with the retained ones laid over them, by key. */
 	overlay(stored: Items): Items {
 		const merged = new Map(stored);
 		for (const [key, {item}] of this.entries) {
@@ -61,7 +61,7 @@
 		return merged;
 	}
 
-	/** Decides anew what is kept, since the store has come back from a copy. */
+	/** Rebuilds the retained set after the store was restored from a backup; `now` in milliseconds. */
 	rebuild({before, stored, removed}: Rollback, now: number): void {
 		this.entries.clear();
 		for (const known of before.values()) {
@@ -74,17 +74,17 @@
 		this.releaseRemoved(removed.values());
 
 		for (const [key, offered] of stored) {
-			const ended = before.has(key) ? undefined : removed.get(key)?.item;
-			const isFromBackup = ended !== undefined && offered.revision <= ended.revision;
-			if (isFromBackup && this.guard.isSameIncarnation(ended, offered)) {
+			const removedItem = before.has(key) ? undefined : removed.get(key)?.item;
+			const isFromBackup = removedItem !== undefined && offered.revision <= removedItem.revision;
+			if (isFromBackup && this.comparator.isSameIncarnation(removedItem, offered)) {
 				this.entries.set(key, {item: undefined, until: now + registrationExpiryMs});
 			}
 		}
 	}
 
-	/** Takes a change that the store tells, or finds when it is read again; `known` is what counted until now. */
+	/** Applies a change received from the store, or found by reading it again; `known` is the item in effect until now. */
 	applyChange(change: StoredValue | RemovedKey, known: StoredItem | undefined): void {
-		const isOlder = known !== undefined && !('isRemoved' in change) && this.guard.isOlder(known, change) === true;
+		const isOlder = known !== undefined && !('isRemoved' in change) && this.comparator.isOlder(known, change) === true;
 		if (isOlder) {
 			this.retain(known);
 		} else {
@@ -92,7 +92,7 @@
 		}
 	}
 
-	/** Ends what was kept for long enough; gives the items that no longer count. */
+	/** Drops expired overrides; `dropped` are their items. */
 	expire(now: number): {readonly hasChanged: boolean; readonly dropped: readonly StoredItem[]} {
 		const due = [...this.entries].filter(([, {until}]) => until <= now);
 		for (const [key] of due) {
@@ -103,25 +103,25 @@
 	}
 
 	/**
-	 * Keeps no longer what is known to have been removed after it was written.
+	 * Drops retained items that are known to have been removed after they were written.
 	 *
-	 * @returns whether anything was kept
+	 * @returns whether any was dropped
 	 */
 	releaseRemoved(removed: Iterable<{readonly item: StoredItem}>): boolean {
-		let hasEnded = false;
-		for (const {item: ended} of removed) {
-			const known = this.entries.get(ended.key)?.item;
-			const isNewer = known !== undefined && (known.era > ended.era || (known.era === ended.era && known.revision > ended.revision));
-			if (known && !isNewer && this.guard.isSameIncarnation(ended, known)) {
-				this.entries.delete(ended.key);
-				hasEnded = true;
+		let hasReleased = false;
+		for (const {item: removedItem} of removed) {
+			const known = this.entries.get(removedItem.key)?.item;
+			const isNewer = known !== undefined && (known.era > removedItem.era || (known.era === removedItem.era && known.revision > removedItem.revision));
+			if (known && !isNewer && this.comparator.isSameIncarnation(removedItem, known)) {
+				this.entries.delete(removedItem.key);
+				hasReleased = true;
 			}
 		}
 
-		return hasEnded;
+		return hasReleased;
 	}
 
-	/** What is kept, as a peer may take it over. */
+	/** The retained items in the form sent to peers. */
 	list(stored: Items, now: number): NonNullable<ViewSnapshot['retained']> {
 		return [...this.entries].map(([key, {item, until}]) => ({
 			key,
@@ -132,9 +132,9 @@
 	}
 
 	/**
-	 * Takes over what a peer keeps against the same answers of the store, unless they are known to have changed.
+	 * Adds a peer's retained items where this process knows the same stored revision of the key.
 	 *
-	 * @returns whether anything was taken over
+	 * @returns whether any was added
 	 */
 	mergeFromPeer(offered: NonNullable<ViewSnapshot['retained']>, stored: Items, now: number): boolean {
 		const unchanged = offered.filter(({key, storedRevision}) => !this.entries.has(key) && stored.get(key)?.revision === storedRevision);
@@ -146,7 +146,7 @@
 	}
 
 	private findRetentionEnd(known: StoredItem, offered: StoredItem | undefined, now: number): number | undefined {
-		const isOlder = this.guard.isOlder(known, offered);
+		const isOlder = this.comparator.isOlder(known, offered);
 		if (isOlder === true) {
 			return Number.POSITIVE_INFINITY;
 		}
@@ -155,7 +155,7 @@
 			return now + rewriteWindowMs;
 		}
 
-		// Where the items do not tell, the lower number is from before, as a rule; what is written in the new era soon has a higher one.
+		// If the contents do not show which is older, a lower revision usually means an older write: writes of the new era soon have higher ones.
 		const isLikelyOlder = isOlder === undefined && offered.value !== known.value && offered.revision < known.revision;
 		return isLikelyOlder ? now + rewriteWindowMs : undefined;
 	}
--- a/src/view/rewrite-window-ms.ts
+++ b/src/view/rewrite-window-ms.ts
@@ -1,2 +1,2 @@
-/** Those who have written what a copy of the store lacks write it again within this time, milliseconds. */
+/** Time within which writers write again what a restored store lacks, milliseconds. */
 export const rewriteWindowMs = 2000;
--- a/src/view/store-availability.ts
+++ b/src/view/store-availability.ts
@@ -1,11 +1,11 @@
 import {rewriteWindowMs} from './rewrite-window-ms.js';
 
-/** A store that gave no answer for so long was away, milliseconds. */
+/** A period of failed calls longer than this counts as an outage, milliseconds. */
 const minimumOutageMs = 800;
-/** For so long after the store is back, what is missing may still come back, milliseconds. */
+/** Time after an outage within which expired keys may be written again, milliseconds. */
 const recoveryMs = 2500;
 
-/** Whether the store answers a process's calls, and since when. */
+/** Tracks whether the store answers this process's calls. */
 export class StoreAvailability {
 	private failedSince: number | undefined;
 	private recoveringUntil = Number.NEGATIVE_INFINITY;
@@ -17,12 +17,12 @@
 		return this.failedSince !== undefined;
 	}
 
-	/** Whether the store has come back so recently that lapsed keys may still return. */
+	/** Whether the store recovered so recently that expired keys may still be written again. */
 	isRecovering(now: number): boolean {
 		return now < this.recoveringUntil;
 	}
 
-	/** Notes a call that failed. */
+	/** Records a failed call. */
 	noteFailure(message: string, now: number): void {
 		if (this.failedSince === undefined) {
 			this.log(`store does not answer: ${message}`);
@@ -31,7 +31,7 @@
 		this.failedSince ??= now;
 	}
 
-	/** Notes an answer. */
+	/** Records an answered call. */
 	noteAnswer(now: number): void {
 		if (this.failedSince === undefined) {
 			return;
@@ -45,7 +45,7 @@
 		}
 	}
 
-	/** Notes that the store has come back from a copy: what that lacks is kept for so long, and then is gone. */
+	/** Records that the store was restored from a backup: keys that it lacks may be written again within the rewrite window. */
 	noteRollback(now: number): void {
 		this.recoveringUntil = now + rewriteWindowMs;
 	}
--- a/src/view/store-view.ts
+++ b/src/view/store-view.ts
@@ -13,52 +13,52 @@
 type ViewOptions = {
 	readonly feed: ChangeFeed;
 	readonly prefix: string;
-	/** Which of two items is to be believed, whoever names them. */
+	/** Decides which of two items is more recent, whether they come from the store or a peer. */
 	readonly comparator: ItemComparator;
-	/** Longest wait of one call for changes, milliseconds: a process cut off and back notices within it. */
+	/** Longest wait of one call for changes, milliseconds. A process that reconnects after a partition notices within it. */
 	readonly waitMs: number;
 	/**
-	 * Longest time from a failed call to the next, milliseconds, half of it more or less by chance. Calls that are refused
-	 * at once are spaced by it; one that was only given up on is followed by the next without a pause.
+	 * Maximum backoff between failed calls, milliseconds, with a jitter of half of it in either direction. It runs from the start of
+	 * the failed call: calls that are refused at once are spaced by it, one that timed out is followed by the next almost at once.
 	 */
 	readonly maximumBackoffMs: number;
 	readonly clock: () => number;
 	readonly random: () => number;
-	/** Waits; scenarios pass their own. */
+	/** Waits for `ms` milliseconds; tests pass their own. */
 	readonly delay: (ms: number) => Promise<void>;
 	readonly log: (message: string) => void;
-	/** Called after something changed, with the present. */
+	/** Called after a change, with the present time, milliseconds. */
 	readonly onChange: (now: number) => void;
 };
 
-/** What a call came to: no answer, one that brought the view on or waited in vain, or one that changed nothing. */
-type CallResult = 'failed' | 'moved' | 'idle';
+/** Result of a call: it failed, confirmed the view as up to date (with or without changes), or was of no use to it. */
+type CallResult = 'failed' | 'updated' | 'unused';
 
 /**
- * Changes come in bursts: after some, the next are gathered for this time, milliseconds, into one answer. Each answer is
- * a call at every entry, and two seconds are allowed for a change to be in force.
+ * Pause after an answer with changes, milliseconds, so that a burst of changes arrives in few answers: each answer is one call by every
+ * entry. A change must be in force within two seconds.
  */
 const batchingMs = 300;
-/** Pause after the first call that failed or brought nothing, milliseconds; it doubles with each one more. */
+/** Initial backoff after a failed or unused call, milliseconds; it doubles with each further one. */
 const initialBackoffMs = 50;
-/** Wait of a call for changes while the store does not answer, milliseconds: its return shows as soon. */
+/** Wait of a call for changes while the store does not answer, milliseconds, so that its recovery is noticed as soon. */
 const unavailableWaitMs = 300;
 const describe = ({era, number}: Revision): string => `era ${era} revision ${number}`;
 const toItems = (items: readonly StoredValue[], era: number): StoredItem[] => items.map(item => ({...item, era}));
 
 /**
- * What this process knows of the store's keys under one prefix. Kept by waiting calls; while the store cannot be reached, by what peers
- * that reach it have. It goes forward in eras, and in revisions within an era; in a new era it starts from the store's list, and what
- * the copy lacks or has older counts on until it is written again.
+ * This process's replica of the store's keys under one prefix. It is updated by long polls, and by the snapshots of peers while the store
+ * cannot be reached. It moves forward in eras, and in revisions within an era. In a new era it starts from a full read of the store, and
+ * retains values that the restored store lacks or has in an older version until they are written again.
  */
 export class StoreView {
 	private readonly items: ViewItems;
 	private readonly availability: StoreAvailability;
 	private revision: Revision = {era: 0, number: 0};
-	private pauseMs = initialBackoffMs;
+	private backoffMs = initialBackoffMs;
 	private needsFullRead = true;
 	private isClosed = false;
-	/** When the store is known to have had nothing newer, by own calls or a peer's, milliseconds. */
+	/** When the view was last known to be up to date, by own calls or a peer's, milliseconds. */
 	private upToDateAt = Number.NEGATIVE_INFINITY;
 	private staleAnswers = 0;
 	private abortWait: (() => void) | undefined;
@@ -73,17 +73,17 @@
 		return this.revision;
 	}
 
-	/** Answers that were not taken over, since they were from before what is known. */
+	/** Number of answers that were ignored because they were older than the view. */
 	get droppedAnswers(): number {
 		return this.staleAnswers;
 	}
 
-	/** Keys on which the view goes on with what it knew against what the store holds. */
+	/** Number of keys whose retained value overrides the store's. */
 	get retainedKeys(): number {
 		return this.items.retainedKeys;
 	}
 
-	/** Whether anything is known yet. */
+	/** Whether the view has been filled, by the store or a peer. */
 	get isLoaded(): boolean {
 		return this.revision.number > 0;
 	}
@@ -93,12 +93,12 @@
 		return this.availability.isUnavailable;
 	}
 
-	/** Milliseconds since the view was last known to be current. */
+	/** Time since the view was last known to be up to date, milliseconds. */
 	getAge(now: number): number {
 		return now - this.upToDateAt;
 	}
 
-	/** Whether the store has come back so recently that lapsed keys may still return. */
+	/** Whether the store recovered so recently that expired keys may still be written again. */
 	isRecovering(now: number): boolean {
 		return this.availability.isRecovering(now);
 	}
@@ -107,12 +107,12 @@
 		return this.items.get(key);
 	}
 
-	/** What the store itself holds under a key, which conditions of writes are about. */
+	/** The store's own item for a key, ignoring retained ones; conditional writes refer to it. */
 	getStored(key: string): StoredItem | undefined {
 		return this.items.getStored(key);
 	}
 
-	/** Items whose keys start with `prefix`, the one written last at the end. */
+	/** Items whose keys start with `prefix`, in order of writing. */
 	list(prefix: string): StoredItem[] {
 		return this.items.list(prefix);
 	}
@@ -122,15 +122,15 @@
 		while (!this.isClosed) {
 			const startedAt = this.options.clock();
 			const before = this.revision;
-			const turn = await this.turn();
-			if (turn === 'moved') {
-				this.pauseMs = initialBackoffMs;
+			const result = await this.callStore();
+			if (result === 'updated') {
+				this.backoffMs = initialBackoffMs;
 			}
 
 			if (isLater(this.revision, before)) {
 				await this.options.delay(batchingMs);
-			} else if (turn !== 'moved') {
-				await this.pause(turn, this.options.clock() - startedAt);
+			} else if (result !== 'updated') {
+				await this.backOff(result, this.options.clock() - startedAt);
 			}
 		}
 	}
@@ -139,14 +139,14 @@
 		this.isClosed = true;
 	}
 
-	/** Ends what was kept for long enough although the store does not hold it. */
+	/** Drops retained items whose time is over; `now` in milliseconds. */
 	tick(now: number): void {
 		if (this.items.expire(now)) {
 			this.options.onChange(now);
 		}
 	}
 
-	/** Learns that the store is in an era, from whoever has heard it: a wait in a former one may never be answered. */
+	/** Records an era of the store reported by a peer. A new one aborts the current long poll, which the restored store may never answer. */
 	noteEra(era: number): void {
 		if (this.isLoaded && era > this.revision.era && !this.needsFullRead) {
 			this.needsFullRead = true;
@@ -154,15 +154,15 @@
 		}
 	}
 
-	/** The view as a peer may take it over. */
+	/** The view in the form sent to peers. */
 	getSnapshot(now: number): ViewSnapshot {
 		return {asOf: this.revision, ageMs: this.getAge(now), ...this.items.getSnapshot(now)};
 	}
 
-	/** Takes over what a peer's view knows more than this one: all of it if it is newer, or single items that are. */
+	/** Merges a peer's view: all of it if it is newer, else its newer items. Returns whether anything changed. */
 	mergeSnapshot(snapshot: ViewSnapshot): boolean {
 		const now = this.options.clock();
-		const hasEnded = this.items.mergeRemoved(snapshot, now);
+		const hasReleased = this.items.mergeRemoved(snapshot, now);
 		const isNewer = isLater(snapshot.asOf, this.revision);
 		if (isNewer) {
 			this.replace(toItems(snapshot.items, snapshot.asOf.era), snapshot.asOf, now);
@@ -170,9 +170,9 @@
 			this.upToDateAt = Math.max(this.upToDateAt, now - snapshot.ageMs);
 		}
 
-		const hasAdopted = snapshot.asOf.era === this.revision.era && this.items.mergeRetained(snapshot, now);
-		const hasKept = this.items.retainNewer(snapshot);
-		const hasChanged = hasEnded || isNewer || hasAdopted || hasKept;
+		const hasAdded = snapshot.asOf.era === this.revision.era && this.items.mergeRetained(snapshot, now);
+		const hasRetained = this.items.retainNewer(snapshot);
+		const hasChanged = hasReleased || isNewer || hasAdded || hasRetained;
 		if (hasChanged) {
 			this.options.onChange(now);
 		}
@@ -180,20 +180,20 @@
 		return hasChanged;
 	}
 
-	/** One reading or wait. */
-	private async turn(): Promise<CallResult> {
+	/** Reads all keys or waits for changes. */
+	private async callStore(): Promise<CallResult> {
 		return this.needsFullRead ? this.readAll() : this.readChanges();
 	}
 
-	private async pause(turn: CallResult, tookMs: number): Promise<void> {
-		const pauseMs = this.pauseMs * (0.5 + this.options.random());
-		await this.options.delay(Math.max(initialBackoffMs * (turn === 'idle' ? this.options.random() : 1), pauseMs - tookMs));
-		this.pauseMs = Math.min(this.options.maximumBackoffMs, this.pauseMs * 2);
+	private async backOff(result: CallResult, tookMs: number): Promise<void> {
+		const backoffMs = this.backoffMs * (0.5 + this.options.random());
+		await this.options.delay(Math.max(initialBackoffMs * (result === 'unused' ? this.options.random() : 1), backoffMs - tookMs));
+		this.backoffMs = Math.min(this.options.maximumBackoffMs, this.backoffMs * 2);
 	}
 
 	private async readAll(): Promise<CallResult> {
 		const {feed, prefix, clock} = this.options;
-		const asked = this.revision;
+		const requested = this.revision;
 		const answer = await feed.list(prefix);
 		const now = clock();
 		if (answer.isErr()) {
@@ -205,31 +205,31 @@
 		this.needsFullRead = false;
 		const {era, asOf, items} = answer.value;
 		const listed = {era, number: asOf};
-		// A list that began after a revision was known and does not include it is of a store that has gone back, whatever its era.
-		const hasRolledBack = this.revision === asked && era === asked.era && asOf < asked.number;
+		// A list requested at this revision that does not include it comes from a store that was rolled back, even without a new era.
+		const hasRolledBack = this.revision === requested && era === requested.era && asOf < requested.number;
 		if (isLater(this.revision, listed) && !hasRolledBack) {
 			this.noteStaleAnswer(listed);
-			return 'idle';
+			return 'unused';
 		}
 
 		this.replace(toItems(items, era), listed, now);
 		this.upToDateAt = now;
 		this.options.onChange(now);
-		return 'moved';
+		return 'updated';
 	}
 
 	private async readChanges(): Promise<CallResult> {
 		const {feed, prefix, waitMs, clock} = this.options;
-		const asked = this.revision;
+		const requested = this.revision;
 		const ended = new Promise<undefined>(resolve => {
 			this.abortWait = () => {
 				resolve(undefined);
 			};
 		});
-		const answer = await Promise.race([feed.poll(prefix, asked.number, this.isStoreUnavailable ? Math.min(unavailableWaitMs, waitMs) : waitMs), ended]);
+		const answer = await Promise.race([feed.poll(prefix, requested.number, this.isStoreUnavailable ? Math.min(unavailableWaitMs, waitMs) : waitMs), ended]);
 		const now = clock();
 		if (answer === undefined) {
-			return 'idle';
+			return 'unused';
 		}
 
 		if (answer.isErr()) {
@@ -240,23 +240,23 @@
 		this.availability.noteAnswer(now);
 		const {kind, era} = answer.value;
 		if (era < this.revision.era) {
-			this.noteStaleAnswer({era, number: asked.number});
-			return 'idle';
+			this.noteStaleAnswer({era, number: requested.number});
+			return 'unused';
 		}
 
 		if (kind === 'forgotten' || era !== this.revision.era) {
-			this.options.log(`history after ${describe(this.revision)} is gone, reading all of era ${era}`);
+			this.options.log(`change history after ${describe(this.revision)} is not available; reading all keys of era ${era}`);
 			this.needsFullRead = true;
-			return 'idle';
+			return 'unused';
 		}
 
-		// What a peer has brought meanwhile may be of another era than the wait, whose changes then do not follow it.
-		if (asked.era === era) {
+		// A peer's snapshot may have moved the view to another era during the wait; these changes do not continue it then.
+		if (requested.era === era) {
 			this.apply(answer.value.changes, answer.value.asOf, now);
 			this.upToDateAt = now;
 		}
 
-		return 'moved';
+		return 'updated';
 	}
 
 	private replace(items: readonly StoredItem[], asOf: Revision, now: number): void {
@@ -264,8 +264,8 @@
 		this.items.replace(items, isRestored, now);
 		if (isRestored) {
 			this.availability.noteRollback(now);
-			const kept = describeRetained(this.items.getSnapshot(now).retained ?? []);
-			this.options.log(`store has come back from a copy: ${describe(asOf)}, this view was of ${describe(this.revision)}${kept}`);
+			const retained = describeRetained(this.items.getSnapshot(now).retained ?? []);
+			this.options.log(`store was restored from a backup: ${describe(asOf)}, this view was at ${describe(this.revision)}${retained}`);
 		}
 
 		this.revision = asOf;
@@ -282,11 +282,11 @@
 	}
 
 	private noteFailure(message: string, now: number): void {
-		this.availability.noteFailure(`${message}; going on with ${describe(this.revision)}`, now);
+		this.availability.noteFailure(`${message}; continuing with ${describe(this.revision)}`, now);
 	}
 
 	private noteStaleAnswer(answer: Revision): void {
 		this.staleAnswers++;
-		this.options.log(`answer of ${describe(answer)} does not count: this view is of ${describe(this.revision)}`);
+		this.options.log(`ignored an answer of ${describe(answer)}: this view is at ${describe(this.revision)}`);
 	}
 }
--- a/src/view/view-items.ts
+++ b/src/view/view-items.ts
@@ -8,20 +8,20 @@
 
 type SnapshotItems = Pick<ViewSnapshot, 'items' | 'retained' | 'removed'>;
 
-/** What a view holds: what the store does, and what counts against it since the store has come back from a copy. */
+/** The items of a view: those of the store, and those that override them after the store was restored from a backup. */
 export class ViewItems {
 	private stored = new Map<string, StoredItem>();
 	private readonly retained: RetainedItems;
 	private readonly removed: RemovedItems;
-	/** What counts: what is stored but for what is retained. */
+	/** The items in effect: the stored ones, overridden by the retained ones. */
 	private current: ReadonlyMap<string, StoredItem> = this.stored;
 
-	constructor(private readonly guard: ItemComparator, private readonly log: (message: string) => void) {
-		this.retained = new RetainedItems(guard);
-		this.removed = new RemovedItems(guard);
+	constructor(private readonly comparator: ItemComparator, private readonly log: (message: string) => void) {
+		this.retained = new RetainedItems(comparator);
+		this.removed = new RemovedItems(comparator);
 	}
 
-	/** Keys on which the view goes on with what it knew against what the store holds. */
+	/** Number of keys whose retained value overrides the store's. */
 	get retainedKeys(): number {
 		return this.retained.size;
 	}
@@ -30,12 +30,12 @@
 		return this.current.get(key);
 	}
 
-	/** What the store itself holds under a key. */
+	/** The store's own item for a key, ignoring retained ones. */
 	getStored(key: string): StoredItem | undefined {
 		return this.stored.get(key);
 	}
 
-	/** Items whose keys start with `prefix`, the one written last at the end. */
+	/** Items whose keys start with `prefix`, in order of writing. */
 	list(prefix: string): StoredItem[] {
 		return [...this.current.values()]
 			.filter(({key}) => key.startsWith(prefix))
@@ -43,9 +43,9 @@
 	}
 
 	/**
-	 * Takes over all that the store holds.
+	 * Replaces all stored items.
 	 *
-	 * @param isRestored - whether the store has come back from a copy since
+	 * @param isRestored - whether the store was restored from a backup since the last read
 	 */
 	replace(items: readonly StoredItem[], isRestored: boolean, now: number): void {
 		const former = this.stored;
@@ -59,7 +59,7 @@
 		this.updateCurrent();
 	}
 
-	/** Takes over changes that the store tells. */
+	/** Applies changes received from the store. */
 	apply(changes: ReadonlyArray<StoredItem | RemovedKey>, now: number): void {
 		for (const change of changes) {
 			this.applyOne(change, now);
@@ -68,11 +68,11 @@
 		this.updateCurrent();
 	}
 
-	/** Ends what was kept for long enough; gives whether anything was. */
+	/** Drops expired overrides; returns whether there were any. */
 	expire(now: number): boolean {
 		const {hasChanged, dropped} = this.retained.expire(now);
 		for (const item of dropped.filter(({key}) => !this.stored.has(key))) {
-			this.log(`${item.key} is gone: nobody has written it again`);
+			this.log(`${item.key} dropped: it was not written again in time`);
 			this.removed.note(item, now);
 		}
 
@@ -81,35 +81,35 @@
 		return hasChanged;
 	}
 
-	/** What a peer may take over. */
+	/** The items in the form sent to peers. */
 	getSnapshot(now: number): SnapshotItems {
 		const retained = this.retained.list(this.stored, now);
 		const removed = this.removed.list(now);
 		return {items: [...this.stored.values()], ...(retained.length > 0 && {retained}), ...(removed.length > 0 && {removed})};
 	}
 
-	/** Learns what a peer knows to have been removed; gives whether that ends anything that was kept. */
+	/** Adds a peer's removals; returns whether they ended any retained item. */
 	mergeRemoved({removed}: SnapshotItems, now: number): boolean {
-		const unknown = this.removed.merge(removed, this.stored, now);
-		const hasEnded = this.retained.releaseRemoved(unknown);
+		const added = this.removed.merge(removed, this.stored, now);
+		const hasReleased = this.retained.releaseRemoved(added);
 		this.updateCurrent();
-		return hasEnded;
+		return hasReleased;
 	}
 
-	/** Takes over what a peer keeps against the same answers of the store; gives whether anything was. */
+	/** Adds a peer's retained items that are based on the same stored revisions; returns whether any was added. */
 	mergeRetained({retained}: SnapshotItems, now: number): boolean {
 		const offered = (retained ?? []).filter(({item}) => item === undefined || !this.removed.hasRemoved(item));
-		const hasAdopted = this.retained.mergeFromPeer(offered, this.stored, now);
+		const hasAdded = this.retained.mergeFromPeer(offered, this.stored, now);
 		this.updateCurrent();
-		return hasAdopted;
+		return hasAdded;
 	}
 
-	/** Keeps items that a peer knows to be newer than those here, whatever era its view is of; gives whether there are any. */
+	/** Retains a peer's items that are newer than those in effect here, in whatever era its view is; returns whether there are any. */
 	retainNewer({items, retained}: SnapshotItems): boolean {
 		const offered = [...items, ...(retained ?? []).flatMap(({item}) => item ?? [])];
-		const newer = offered.filter(item => this.guard.isOlder(item, this.current.get(item.key)) === true);
+		const newer = offered.filter(item => this.comparator.isOlder(item, this.current.get(item.key)) === true);
 		for (const item of newer) {
-			this.log(`a peer knows a newer ${item.key}`);
+			this.log(`a peer has a newer ${item.key}`);
 			this.retained.retain(item);
 		}
 
@@ -117,7 +117,7 @@
 		return newer.length > 0;
 	}
 
-	/* Within an era what differs was written or removed since. */
+	/* Within an era, a difference between two reads means a write or a removal in between. */
 	private detectChanges(former: ReadonlyMap<string, StoredItem>, now: number): void {
 		for (const [key, item] of this.stored) {
 			if (item.revision !== former.get(key)?.revision) {
@@ -139,7 +139,7 @@
 		const known = retained ? retained.item : this.stored.get(key);
 		this.retained.applyChange(change, known);
 		if (this.retained.get(key)) {
-			this.log(`${key} as written at revision ${revision} is older than what is known, and does not count`);
+			this.log(`ignored ${key} of revision ${revision}: it is older than the known value`);
 		}
 
 		if ('isRemoved' in change) {
--- a/src/view/view-snapshot.ts
+++ b/src/view/view-snapshot.ts
@@ -5,24 +5,24 @@
 	key: z.string(), value: z.string(), revision: z.int(), era: z.int().min(0),
 });
 
-/** A process's view of the store, as it is passed to a peer. */
+/** A process's view of the store, in the form sent to peers. */
 const ViewSnapshot = z.object({
 	/** Revision of the store that the view includes. */
 	asOf: Revision,
-	/** How long ago the view was known to be current, milliseconds. */
+	/** Time since the view was last known to be up to date, milliseconds. */
 	ageMs: z.number(),
 	items: z.array(item),
-	/** Keys on which the sender goes on with what it knew against the items above; absent where there are none. */
+	/** Keys for which the sender overrides the items above; absent if there are none. */
 	retained: z.array(z.object({
 		key: z.string(),
-		/** What counts instead; absent where the key counts as removed. */
+		/** The overriding item; absent if the key is treated as removed. */
 		item: item.optional(),
-		/** For how much longer, milliseconds; absent where only something newer ends it. */
+		/** Time until the override expires, milliseconds; absent if it holds until a newer value is written. */
 		leftMs: z.number().optional(),
-		/** Revision of the item above that it is kept against; absent where the store holds none. */
+		/** Revision of the stored item that is overridden; absent if the store holds none. */
 		storedRevision: z.int().optional(),
 	})).optional(),
-	/** What was removed lately and would not be believed if a copy of the store held it again; absent where there is nothing. */
+	/** Recently removed items, to be ignored if a restored store holds them again; absent if there are none. */
 	removed: z.array(z.object({item, agoMs: z.number()})).optional(),
 });
 type ViewSnapshot = z.infer<typeof ViewSnapshot>;
--- a/src/vm-list/fetch-vm-list.ts
+++ b/src/vm-list/fetch-vm-list.ts
@@ -11,11 +11,11 @@
 type FetchOptions = {
 	readonly url: string;
 	readonly timeoutMs: number;
-	/** The list as last read; it is given back when the platform says that nothing changed. */
+	/** The last list; returned again if the platform reports no change. */
 	readonly previous: VmList | undefined;
 };
 
-/** Reads the platform's list of live and leaving VMs over HTTP, with a conditional request. */
+/** Fetches the platform's list of live and leaving VMs with a conditional HTTP request. */
 export async function fetchVmList({url, timeoutMs, previous}: FetchOptions): Promise<Result<VmList, PlatformError>> {
 	try {
 		const headers = previous?.tag ? {'if-none-match': previous.tag} : {};
--- a/src/vm-list/vm-list.ts
+++ b/src/vm-list/vm-list.ts
@@ -1,8 +1,8 @@
 import {type Vm} from './vm.js';
 
-/** The platform's list of VMs as read at some moment. */
+/** The platform's list of VMs at the time of one read. */
 export type VmList = {
 	readonly vms: readonly Vm[];
-	/** Entity tag of the list, empty when the platform gave none. */
+	/** Entity tag of the list; empty if the platform sent none. */
 	readonly tag: string;
 };
--- a/src/vm-list/vm.ts
+++ b/src/vm-list/vm.ts
@@ -1,6 +1,6 @@
 import {z} from 'zod';
 
-/** A VM of the platform's list, which lags behind what is live. */
+/** A VM in the platform's list, which lags behind the VMs that are actually live. */
 const Vm = z.object({
 	id: z.string(),
 	role: z.enum(['entry', 'target']),
