--- a/features/platform.feature
+++ b/features/platform.feature
@@ -1,19 +1,19 @@
-Feature: The adapter translates the users' platform, and only translates
+Feature: The adapter translates between the users' platform and the product
 
-  Scenario: A list is read over several pages, and what changes meanwhile is read as a change
+  Scenario: A list is read in several pages, and a change in between is read as a change
     Given a store with 5 keys
     When the keys are listed while one of them changes after the first page
     Then all 5 keys are listed as of the first page
-    And the change follows when it is waited for
+    And the next wait returns the change
 
-  Scenario: A removal and a forgotten history are told apart
+  Scenario: A removal and a deleted history are distinguished
     Given a store with 5 keys
     When a key is removed
-    Then a wait tells of the removal
-    When the store has forgotten its history
-    Then a wait tells that the history is gone
+    Then a wait returns the removal
+    When the store has deleted its change history
+    Then a wait reports that the history is gone
 
-  Scenario Outline: A write whose store is <fault> is not taken for done or undone without proof
+  Scenario Outline: A write to a store that is <fault> reports whether it may have taken effect
     Given a store with 5 keys
     And the store is <fault>
     When a key is written under the condition that it is absent
@@ -30,15 +30,15 @@
     When a key is written under a condition that does not hold
     Then nothing was written
 
-  Scenario: A lease that has ended cannot be kept
+  Scenario: A lease that has ended cannot be renewed
     Given a store with 5 keys
     When a lease ends
-    Then keeping it says so
+    Then renewing it fails
 
   Scenario Outline: The era of the store is read from its answers: <header>
     Given a store with 5 keys
     When its answers say that it is in era "<header>"
-    Then a list and a wait are of era <era>, and so is what is written
+    Then the results of a list, a wait and a write have era <era>
 
     Examples:
       | header | era |
@@ -47,10 +47,10 @@
       | 7      | 7   |
       | 007    | 7   |
 
-  Scenario Outline: An era that cannot be read is an error that says so: <header>
+  Scenario Outline: An invalid era is reported as an error: <header>
     Given a store with 5 keys
     When its answers say that it is in era "<header>"
-    Then a list fails and names "store-era"
+    Then a list fails with an error that names "store-era"
 
     Examples:
       | header               |
@@ -60,31 +60,31 @@
       | 3, 3                 |
       | 99999999999999999999 |
 
-  Scenario: A list over two eras is not taken for one
+  Scenario: A list whose pages are of two eras fails
     Given a store with 5 keys
     When the keys are listed while the store goes from era "3" to "4" after the first page
-    Then the list has failed and names "era 3 to 4"
+    Then the list has failed with an error that names "era 3 to 4"
 
-  # A wait that the store never answers kept a process in the former era for up to twelve seconds.
-  Scenario: A wait in a former era ends as soon as another call tells of a new one
+  # Guards against a wait that the store never answers, which kept a process in the earlier era for up to twelve seconds.
+  Scenario: A wait in an earlier era ends as soon as another call reports a new one
     Given a store with 5 keys
     When its answers say that it is in era "3"
-    And a wait is never answered, and then another call tells of era "4"
+    And a wait is never answered, and then another call reports era "4"
     Then the wait has ended in era 4, and its history is gone
 
-  Scenario: The operator's configuration becomes the product's
+  Scenario: The operator's configuration is translated
     Given a store with the operator's configuration
-    Then its routes, services, organisations and limits are read in the product's words
+    Then its routes, services, organisations and limits are read as the product's configuration
     When the operator's configuration has a route without a kind
-    Then reading it names "routes.0.kind"
+    Then reading it fails with an error that names "routes.0.kind"
 
-  Scenario: Workers' registrations become targets, and one that cannot be used is named
-    Given a store with a ready, a draining and a broken registration
-    Then a target and a leaving target are read, and the broken one is named
+  Scenario: Workers' registrations are read as targets, and an invalid one is reported
+    Given a store with a ready, a draining and an invalid registration
+    Then a target and a leaving target are read, and the invalid one is reported
 
-  Scenario Outline: A registration that another writer has spoilt names no worker, and the others hold: <field> is <value>
-    Given a store with a registration whose <field> is '<value>', beside a sound one
-    Then only the sound one is read, and the other is named
+  Scenario Outline: An invalid registration is ignored without affecting the others: <field> is <value>
+    Given a store with a registration whose <field> is '<value>', and a valid one
+    Then only the valid one is read, and the other is reported
 
     Examples:
       | field      | value               |
@@ -105,16 +105,16 @@
       | born       | 1.5                 |
       | whole      | not to be read      |
 
-  Scenario: A worker that starts again under its id says so
-    Given a store with a registration whose born is '1792771280159', beside a sound one
-    Then both are read, and one was born at 1792771280159
+  Scenario: A worker that can restart under its id publishes its start time
+    Given a store with a registration whose born is '1792771280159', and a valid one
+    Then both are read, and one was started at 1792771280159
 
-  Scenario: A worker's report becomes a rank's
+  Scenario: A worker's report is translated to a rank's report
     Given a worker that reports a held group
-    Then the rank's report says so in the product's words
+    Then the rank's report has the same values in the product's format
     And its counts are read by layer
 
-  Scenario Outline: A worker's answer <status> to an order is understood
+  Scenario Outline: A worker's answer <status> to an order is translated
     Given a worker that answers orders with <status>
     Then an order to it is <outcome>
 
@@ -125,34 +125,34 @@
       | 409    | refused |
       | 500    | unknown |
 
-  Scenario: Answers are read by their headers
-    Then a refusal, a refusal with its group, a misdirected request and a signed answer are told apart
-    And neither a caller's key nor its own marks for a target are passed on
+  Scenario: Answers are classified by their headers
+    Then a refusal, a refusal with its group, a misdirected request and a signed answer are distinguished
+    And neither a caller's key nor the platform's own headers in its request are passed on
 
-  Scenario Outline: A worker's wish for rest is read from <status> with Retry-After <value>
-    Then a worker that answers <status> with Retry-After "<value>" asks for <rest>
+  Scenario Outline: A worker's cooldown is read from <status> with Retry-After <value>
+    Then a worker that answers <status> with Retry-After "<value>" asks for <cooldown>
 
     Examples:
-      | status | value                             | rest     |
-      | 503    | 3                                 | 3000 ms  |
-      | 503    | 0.35                              | 350 ms   |
-      | 503    | 0                                 | 0 ms     |
-      | 429    | 2                                 | 2000 ms  |
-      | 503    | 1, 3                              | 3000 ms  |
-      | 503    | 3, soon                           | 3000 ms  |
-      | 503    | Thu, 03 Dec 2026 10:00:04 GMT     | 4000 ms  |
-      | 503    | Thu, 03 Dec 2026 09:00:00 GMT, 2  | 2000 ms  |
-      | 503    | 99999999999999999999              | 86400000 ms |
-      | 503    | soon                              | no rest  |
-      | 503    | -3                                | no rest  |
-      | 503    | 1e3                               | no rest  |
-      | 503    | 3 s                               | no rest  |
-      | 200    | 3                                 | no rest  |
-
-  Scenario: A worker that is about to leave says so in any answer
+      | status | value                            | cooldown    |
+      | 503    | 3                                | 3000 ms     |
+      | 503    | 0.35                             | 350 ms      |
+      | 503    | 0                                | 0 ms        |
+      | 429    | 2                                | 2000 ms     |
+      | 503    | 1, 3                             | 3000 ms     |
+      | 503    | 3, soon                          | 3000 ms     |
+      | 503    | Thu, 03 Dec 2026 10:00:04 GMT    | 4000 ms     |
+      | 503    | Thu, 03 Dec 2026 09:00:00 GMT, 2 | 2000 ms     |
+      | 503    | 99999999999999999999             | 86400000 ms |
+      | 503    | soon                             | no cooldown |
+      | 503    | -3                               | no cooldown |
+      | 503    | 1e3                              | no cooldown |
+      | 503    | 3 s                              | no cooldown |
+      | 200    | 3                                | no cooldown |
+
+  Scenario: A worker may announce in any answer that it is about to leave
     Then a worker that answers 200 with leaving "1" is about to leave
     And a worker that answers 503 with leaving "1" is about to leave
     But a worker that answers 200 with leaving "0" is not about to leave
 
-  Scenario: The platform's names stay in its folder
-    Then no source outside of it holds a name of the platform's wire
+  Scenario: The platform's names are used in its folder only
+    Then no source outside of it contains a name of the platform's wire format
--- a/features/steps/directory-steps.ts
+++ b/features/steps/directory-steps.ts
@@ -44,7 +44,7 @@
 Then('no target is used {int} ms after', function (this: SystemWorld, ms: number) {
 	const directory = this.notes.get('directory') as TargetDirectory;
 	const intervalMs = this.notes.get('lookMs') as number;
-	// The looks fall just after the moments that matter.
+	// The checks fall just after the deadlines.
 	for (let passedMs = -1; passedMs <= ms; passedMs += intervalMs) {
 		directory.expire(10_000 + passedMs);
 	}
@@ -102,7 +102,7 @@
 When('the planner of {string} lists {string} and {string} in epoch {int}, beside one that cannot be read', function (this: SystemWorld, group: string, one: string, other: string, epoch: number) {
 	const formed = (this.notes.get('index') as GroupIndex).replace([
 		{key: groupKeys.make('desk', group), value: JSON.stringify({epoch, engines: [one, other]}), revision: epoch},
-		{key: groupKeys.make('desk', 'spoilt'), value: '{', revision: epoch},
+		{key: groupKeys.make('desk', 'invalid'), value: '{', revision: epoch},
 		{key: groupKeys.make('desk', 'partial'), value: JSON.stringify({engines: [other]}), revision: epoch},
 	]);
 	this.notes.set('formed', formed);
--- a/features/steps/item-guard-steps.ts
+++ b/features/steps/item-guard-steps.ts
@@ -23,7 +23,7 @@
 	{key: targetKey, value: JSON.stringify({...target, ...more}), revision: revision + 1},
 ];
 const noAnswer = err(new PlatformError('the store does not answer', 'unknown'));
-/** Time for which peers are told of what has left, and when that begins, milliseconds. */
+/** Time at which the registration disappears, milliseconds. */
 const goneAt = 1000;
 
 const openView = (items?: StoredValue[]): StoreView => {
@@ -38,7 +38,7 @@
 		maximumBackoffMs: 1,
 		clock: () => 0,
 		random: () => 0,
-		// The view reads once.
+		// The view closes after its first read.
 		async delay() {
 			view.close();
 		},
@@ -50,56 +50,56 @@
 
 const describeView = (view: StoreView): string => {
 	const [found] = plainSource.readTargets(view, String);
-	const state = found ? (found.isLeaving ? 'a target that leaves' : 'a target that is ready') : 'no target';
+	const state = found ? (found.isLeaving ? 'a target that is leaving' : 'a target that is ready') : 'no target';
 	return `configuration ${plainSource.readConfiguration(view)?.version} and ${state}`;
 };
 
 const getView = (world: SystemWorld): StoreView => world.notes.get('guarded view') as StoreView;
-Given('a view that knows configuration {int} and a target that leaves', async function (this: SystemWorld, version: number) {
+Given('a view with configuration {int} and a target that is leaving', async function (this: SystemWorld, version: number) {
 	const view = openView(makeItems(version, {}, 1));
 	await view.run();
 	this.notes.set('guarded view', view);
 });
 
-When('a newer view tells of configuration {int}, and that the target is ready', function (this: SystemWorld, version: number) {
+When('a newer view has configuration {int} and the target as ready', function (this: SystemWorld, version: number) {
 	const items = makeItems(version, {isLeaving: false}, 3).map(item => ({...item, era: 1}));
 	getView(this).mergeSnapshot({asOf: {era: 1, number: 4}, ageMs: 0, items});
 });
 
-When('a newer view tells of configuration {int}, and of a later life of the target', function (this: SystemWorld, version: number) {
+When('a newer view has configuration {int} and a later incarnation of the target', function (this: SystemWorld, version: number) {
 	const items = makeItems(version, {bornAt: 2, isLeaving: false}, 5).map(item => ({...item, era: 1}));
 	getView(this).mergeSnapshot({asOf: {era: 1, number: 6}, ageMs: 0, items});
 });
 
-When('it takes over a peer\'s view of a new era, which lacks the target since it was removed', function (this: SystemWorld) {
+When('it merges a peer\'s view of a new era, in which the target was removed', function (this: SystemWorld) {
 	const [configuration, ended] = makeItems(7, {}, 1).map(item => ({...item, era: 1}));
 	getView(this).mergeSnapshot({
 		asOf: {era: 2, number: 1}, ageMs: 0, items: [{...configuration, era: 2}], removed: [{item: ended, agoMs: 100}],
 	});
 });
 
-Then('the view goes by {}', function (this: SystemWorld, expected: string) {
+Then('the view has {}', function (this: SystemWorld, expected: string) {
 	assert.equal(describeView(getView(this)), expected);
 });
 
-Then('a peer that takes it over does as well', function (this: SystemWorld) {
+Then('a peer that merges this view has the same', function (this: SystemWorld) {
 	const peer = openView();
 	peer.mergeSnapshot(getView(this).getSnapshot(0));
 	assert.equal(describeView(peer), describeView(getView(this)));
 });
 
-Given('a directory that knows of a target that leaves', function (this: SystemWorld) {
+Given('a directory with a target that is leaving', function (this: SystemWorld) {
 	const directory = new TargetDirectory();
 	directory.replace([target], 0, false);
 	directory.noteDeparture(target, 0);
 	this.notes.set('leaving directory', directory);
 });
 
-When('its registration has gone', function (this: SystemWorld) {
+When('its registration disappears', function (this: SystemWorld) {
 	(this.notes.get('leaving directory') as TargetDirectory).replace([], goneAt, false);
 });
 
-Then('peers are told for {int} ms more that it leaves', function (this: SystemWorld, ms: number) {
+Then('peers are informed of the departure for {int} ms more', function (this: SystemWorld, ms: number) {
 	const directory = this.notes.get('leaving directory') as TargetDirectory;
 	assert.deepEqual(directory.listDepartures(goneAt + ms), [{id: target.id, bornAt: target.bornAt}]);
 	assert.deepEqual(directory.listDepartures(goneAt + ms + 1), []);
--- a/features/steps/membership-steps.ts
+++ b/features/steps/membership-steps.ts
@@ -8,16 +8,16 @@
 
 const getScene = (world: SystemWorld): Scene => world.notes.get('scene') as Scene;
 
-const hear = (scene: Scene, id: string, incarnation = 'a', peers: Array<{id: string; incarnation: string; counter: number}> = []): void => {
+const receive = (scene: Scene, id: string, incarnation = 'a', peers: Array<{id: string; incarnation: string; counter: number}> = []): void => {
 	scene.membership.receiveHeartbeat({
 		type: 'heartbeat', id, incarnation, counter: scene.counter, tableVersion: 0, changeId: '', peers,
 	}, scene.now);
 };
 
-const hearAll = (scene: Scene, vms: readonly Vm[]): void => {
+const receiveFromAll = (scene: Scene, vms: readonly Vm[]): void => {
 	scene.counter++;
 	for (const {id} of vms) {
-		hear(scene, id);
+		receive(scene, id);
 	}
 };
 
@@ -33,51 +33,51 @@
 	} satisfies Scene);
 });
 
-When('all others are heard', function (this: SystemWorld) {
+When('all others send heartbeats', function (this: SystemWorld) {
 	const scene = getScene(this);
-	hearAll(scene, scene.vms);
+	receiveFromAll(scene, scene.vms);
 });
 
-When('{int} seconds pass without a word', function (this: SystemWorld, seconds: number) {
+When('{int} seconds pass without heartbeats', function (this: SystemWorld, seconds: number) {
 	getScene(this).now += seconds * 1000;
 });
 
-When('{int} seconds pass in which only {string} is heard', function (this: SystemWorld, seconds: number, zone: string) {
+When('{int} seconds pass with heartbeats from {string} only', function (this: SystemWorld, seconds: number, zone: string) {
 	const scene = getScene(this);
 	for (let second = 0; second < seconds; second++) {
 		scene.now += 1000;
-		hearAll(scene, scene.vms.filter(vm => vm.availabilityZone === zone));
+		receiveFromAll(scene, scene.vms.filter(vm => vm.availabilityZone === zone));
 	}
 });
 
-When('{string} is heard with a higher counter', function (this: SystemWorld, id: string) {
+When('{string} sends a heartbeat with a higher counter', function (this: SystemWorld, id: string) {
 	const scene = getScene(this);
 	scene.counter++;
-	hear(scene, id);
+	receive(scene, id);
 });
 
-When('{string} is heard from a later life', function (this: SystemWorld, id: string) {
-	hear(getScene(this), id, 'b');
+When('{string} sends a heartbeat of a later incarnation', function (this: SystemWorld, id: string) {
+	receive(getScene(this), id, 'b');
 });
 
 When('{string} passes on a higher counter of {string}', function (this: SystemWorld, id: string, about: string) {
 	const scene = getScene(this);
 	scene.counter++;
-	hear(scene, id, 'a', [{id: about, incarnation: 'a', counter: scene.counter}]);
+	receive(scene, id, 'a', [{id: about, incarnation: 'a', counter: scene.counter}]);
 });
 
 When('{string} passes on the same counter of {string}', function (this: SystemWorld, id: string, about: string) {
 	const scene = getScene(this);
 	const {counter} = scene;
 	scene.counter++;
-	hear(scene, id, 'a', [{id: about, incarnation: 'a', counter}]);
+	receive(scene, id, 'a', [{id: about, incarnation: 'a', counter}]);
 });
 
-When('{string} passes on a high counter of the earlier life of {string}', function (this: SystemWorld, id: string, about: string) {
-	hear(getScene(this), id, 'a', [{id: about, incarnation: 'a', counter: 1000}]);
+When('{string} passes on a high counter of the earlier incarnation of {string}', function (this: SystemWorld, id: string, about: string) {
+	receive(getScene(this), id, 'a', [{id: about, incarnation: 'a', counter: 1000}]);
 });
 
-When('the list no longer names {string}', function (this: SystemWorld, id: string) {
+When('the list no longer contains {string}', function (this: SystemWorld, id: string) {
 	const scene = getScene(this);
 	scene.membership.noteList(scene.vms.filter(vm => vm.id !== id), scene.now);
 });
@@ -87,11 +87,11 @@
 	assert.equal(scene.membership.getState(id, scene.now), state);
 });
 
-Then('{string} is forgotten', function (this: SystemWorld, id: string) {
+Then('{string} is no longer a member', function (this: SystemWorld, id: string) {
 	assert.equal(getScene(this).membership.getVm(id), undefined);
 });
 
-Then('half of the zones are visible', function (this: SystemWorld) {
+Then('half of the zones are reachable', function (this: SystemWorld) {
 	const scene = getScene(this);
 	assert.equal(scene.membership.getReachableZoneShare(scene.now), 0.5);
 });
--- a/features/steps/once-steps.ts
+++ b/features/steps/once-steps.ts
@@ -36,7 +36,7 @@
 	}
 });
 
-When('{string} gives its answers', function (this: SystemWorld, _service: string) {
+When('{string} sends its answers', function (this: SystemWorld, _service: string) {
 	for (const service of this.system.services.values()) {
 		service.release();
 	}
@@ -47,13 +47,13 @@
 });
 
 When('entry {int} is asked to release ticket {string} with key {string} again', async function (this: SystemWorld, entry: number, ticket: string, key: string) {
-	await this.system.until('the first copy holds the claim', async () => await countClaims(this) === 1);
+	await this.system.until('the first request holds the claim', async () => await countClaims(this) === 1);
 	this.replies.set('second', release(this, entry, ticket, {'idempotency-key': key}));
 });
 
-When('both copies have reached a target', async function (this: SystemWorld) {
+When('both requests have reached a target', async function (this: SystemWorld) {
 	await this.system.until('a run has begun', () => countRuns(this) === 1);
-	await this.system.until('the second copy is attached', () => {
+	await this.system.until('the second request is attached', () => {
 		const {targets} = getEntry(this, 3).getStatus() as {targets: Array<{openCalls: number}>};
 		return targets.some(({openCalls}) => openCalls > 0);
 	});
@@ -63,17 +63,17 @@
 	await this.system.until('the run has begun', () => countRuns(this) === count);
 });
 
-When('entry {int} dies', async function (this: SystemWorld, entry: number) {
+When('entry {int} crashes', async function (this: SystemWorld, entry: number) {
 	await getEntry(this, entry).kill();
 });
 
-When('the target process that runs it dies and is replaced', async function (this: SystemWorld) {
+When('the target process that runs it crashes and is replaced', async function (this: SystemWorld) {
 	const [id] = [...this.system.services].find(([, service]) => service.total > 0)!;
 	await this.system.targets.get(id)!.target.kill();
 	await this.system.restartTarget(id);
 });
 
-When('every target process of {string} dies and is replaced', async function (this: SystemWorld, _service: string) {
+When('every target process of {string} crashes and is replaced', async function (this: SystemWorld, _service: string) {
 	for (const id of this.system.services.keys()) {
 		await this.system.targets.get(id)!.target.kill();
 		await this.system.restartTarget(id);
@@ -85,7 +85,7 @@
 	}
 });
 
-Given('every target of {string} is told to stop', async function (this: SystemWorld, _service: string) {
+Given('every target of {string} begins to stop', async function (this: SystemWorld, _service: string) {
 	for (const id of this.system.services.keys()) {
 		void this.system.targets.get(id)!.target.stop();
 	}
@@ -132,7 +132,7 @@
 	this.clock.advance(hours * 3_600_000);
 });
 
-Then('both callers get the same whole answer', async function (this: SystemWorld) {
+Then('both callers get the same complete answer', async function (this: SystemWorld) {
 	const first = await this.replies.get('first')!;
 	const second = await this.replies.get('second')!;
 	assert.deepEqual([first.status, first.isWhole], [200, true], first.text);
@@ -149,7 +149,7 @@
 	await checkProblem(this, caller, status, outcome);
 });
 
-Then('the {word} caller is told that the key is {string}', async function (this: SystemWorld, caller: string, keyState: string) {
+Then('the {word} caller gets key state {string}', async function (this: SystemWorld, caller: string, keyState: string) {
 	const reply = await this.replies.get(caller)!;
 	assert.equal((JSON.parse(reply.text) as {keyState: string}).keyState, keyState);
 });
--- a/features/steps/registration-steps.ts
+++ b/features/steps/registration-steps.ts
@@ -13,7 +13,7 @@
 
 const getScene = (world: SystemWorld): Scene => world.notes.get('registration') as Scene;
 
-Given('a registration that is renewed by a call under way', async function (this: SystemWorld) {
+Given('a registration with a pending renewal call', async function (this: SystemWorld) {
 	const scene: Scene = {
 		writes: 0,
 		answer: String,
@@ -43,7 +43,7 @@
 	assert.equal(scene.writes, 1);
 });
 
-When('the store goes back without it, and the call is answered', async function (this: SystemWorld) {
+When('the store is restored without it, and the call is answered', async function (this: SystemWorld) {
 	const {registration, answer} = getScene(this);
 	void registration.tick(renewMs + lookMs, {era: 1});
 	answer(true);
--- a/features/steps/restored-store-steps.ts
+++ b/features/steps/restored-store-steps.ts
@@ -6,239 +6,239 @@
 import {injectRandomFaults} from '../support/inject-random-faults.js';
 import {type SystemWorld} from '../support/system-world.js';
 
-const getCrowd = (world: SystemWorld): StoreSimulation => world.notes.get('crowd') as StoreSimulation;
+const getSimulation = (world: SystemWorld): StoreSimulation => world.notes.get('simulation') as StoreSimulation;
 const longScenarioMs = 120_000;
-/** Time until entries that start know each other and the store, milliseconds. */
+/** Time for new entries to connect to each other and read the store, milliseconds. */
 const settleMs = 1000;
-/** Longest wait for a change, and its call, milliseconds. */
+/** Maximum duration of a wait for changes, including its call, milliseconds. */
 const longestWaitMs = 2100;
-/** Time between two starts, milliseconds. */
+/** Time between the starts of two entries, milliseconds. */
 const startMs = 50;
 
-const startEntries = async (crowd: StoreSimulation, first: number, last: number): Promise<void> => {
+const startEntries = async (simulation: StoreSimulation, first: number, last: number): Promise<void> => {
 	for (let number = first; number <= last; number++) {
-		crowd.start(String(number));
-		await crowd.advance(startMs);
+		simulation.start(String(number));
+		await simulation.advance(startMs);
 	}
 
-	await crowd.advance(settleMs);
+	await simulation.advance(settleMs);
 };
 
-const loseChanges = async (world: SystemWorld, count: number, awayMs: number, isSilent = false): Promise<void> => {
-	const crowd = getCrowd(world);
-	crowd.store.takeCopy();
+const restoreWithoutLast = async (world: SystemWorld, count: number, outageMs: number, isSilent = false): Promise<void> => {
+	const simulation = getSimulation(world);
+	simulation.store.takeCopy();
 	for (let number = 0; number < count; number++) {
-		crowd.store.put(`others/${number}`, number);
+		simulation.store.put(`others/${number}`, number);
 	}
 
-	await crowd.advance(settleMs);
+	await simulation.advance(settleMs);
 	if (world.notes.has('silent waits')) {
-		crowd.store.silenceWaits('1');
+		simulation.store.silenceWaits('1');
 	}
 
-	await crowd.restoreFromBackup({outageMs: awayMs, rewriteDelayMs: 0, isSilent});
-	world.notes.set('calls', new Map(crowd.store.calls));
+	await simulation.restoreFromBackup({outageMs, rewriteDelayMs: 0, isSilent});
+	world.notes.set('calls', new Map(simulation.store.calls));
 };
 
 Given('{int} entries and {int} targets that follow a store', {timeout: longScenarioMs}, async function (this: SystemWorld, entries: number, targets: number) {
-	const crowd = new StoreSimulation(1);
+	const simulation = new StoreSimulation(1);
 	this.onClose(() => {
-		crowd.close();
+		simulation.close();
 	});
-	this.notes.set('crowd', crowd);
-	crowd.configure();
+	this.notes.set('simulation', simulation);
+	simulation.configure();
 	for (let number = 1; number <= targets; number++) {
-		crowd.register(`target-${number}`);
+		simulation.register(`target-${number}`);
 	}
 
-	await startEntries(crowd, 1, entries);
-	crowd.store.takeCopy();
+	await startEntries(simulation, 1, entries);
+	simulation.store.takeCopy();
 });
 
-When('the store comes back without its last {int} changes after {int} ms', async function (this: SystemWorld, lost: number, awayMs: number) {
-	await loseChanges(this, lost, awayMs);
+When('the store is restored without its last {int} changes after an outage of {int} ms', async function (this: SystemWorld, lost: number, outageMs: number) {
+	await restoreWithoutLast(this, lost, outageMs);
 });
 
-When('the store comes back without its last {int} changes after 0 ms, silently, and at once a target leaves and {int} others follow', async function (this: SystemWorld, lost: number, others: number) {
-	await loseChanges(this, lost, 0, true);
-	const crowd = getCrowd(this);
-	crowd.leave('target-1');
+When('the store loses its last {int} changes after 0 ms, waits stay open, and at once a target leaves and {int} keys are written', async function (this: SystemWorld, lost: number, others: number) {
+	await restoreWithoutLast(this, lost, 0, true);
+	const simulation = getSimulation(this);
+	simulation.leave('target-1');
 	for (let number = 0; number < others; number++) {
-		crowd.store.put(`others/${number}`, 'again');
+		simulation.store.put(`others/${number}`, 'again');
 	}
 });
 
 When('the operator changes the configuration, a target registers and another leaves', function (this: SystemWorld) {
-	const crowd = getCrowd(this);
-	crowd.store.takeCopy();
+	const simulation = getSimulation(this);
+	simulation.store.takeCopy();
 	const turn = (this.notes.get('turn') as number | undefined ?? 0) + 1;
 	this.notes.set('turn', turn);
-	crowd.configure();
-	crowd.register(`new-${turn}`);
-	crowd.leave(`target-${turn}`);
+	simulation.configure();
+	simulation.register(`new-${turn}`);
+	simulation.leave(`target-${turn}`);
 });
 
-When('the entries go on for {int} ms', {timeout: longScenarioMs}, async function (this: SystemWorld, ms: number) {
-	await getCrowd(this).advance(ms);
+When('the entries run for {int} ms', {timeout: longScenarioMs}, async function (this: SystemWorld, ms: number) {
+	await getSimulation(this).advance(ms);
 });
 
-When('the connections of all waits but one entry\'s go silent', function (this: SystemWorld) {
+When('the waits of all entries but one get no answer any more', function (this: SystemWorld) {
 	this.notes.set('silent waits', true);
 });
 
-When('the store does not tell its era', function (this: SystemWorld) {
-	getCrowd(this).store.tellsEra = false;
+When('the store does not report its era', function (this: SystemWorld) {
+	getSimulation(this).store.tellsEra = false;
 });
 
-When('the operator changes the configuration twice, and the store comes back without the second', async function (this: SystemWorld) {
-	const crowd = getCrowd(this);
-	crowd.configure();
-	await crowd.advance(settleMs);
-	crowd.store.takeCopy();
-	crowd.configure();
-	this.notes.set('lost version', crowd.version);
-	await crowd.advance(settleMs);
-	crowd.setFault('down');
-	await crowd.advance(300);
-	crowd.store.goBack();
-	crowd.setFault('none');
-	await crowd.advance(settleMs);
+When('the operator changes the configuration twice, and the store is restored without the second change', async function (this: SystemWorld) {
+	const simulation = getSimulation(this);
+	simulation.configure();
+	await simulation.advance(settleMs);
+	simulation.store.takeCopy();
+	simulation.configure();
+	this.notes.set('lost version', simulation.version);
+	await simulation.advance(settleMs);
+	simulation.setFault('down');
+	await simulation.advance(300);
+	simulation.store.goBack();
+	simulation.setFault('none');
+	await simulation.advance(settleMs);
 });
 
-When('the operator changes the configuration, and then writes the one before again', async function (this: SystemWorld) {
-	const crowd = getCrowd(this);
-	crowd.configure();
-	await crowd.advance(settleMs);
-	crowd.writeConfiguration(this.notes.get('lost version') as number);
+When('the operator changes the configuration, and then writes the lost version again', async function (this: SystemWorld) {
+	const simulation = getSimulation(this);
+	simulation.configure();
+	await simulation.advance(settleMs);
+	simulation.writeConfiguration(this.notes.get('lost version') as number);
 });
 
-const comeBack = 'the store comes back from the copy of before that after {int} ms, and all is written again {int} ms later';
+const restoreAndRewrite = 'the store is restored to before that after {int} ms, and the lost keys are written again {int} ms later';
 
-When(comeBack, {timeout: longScenarioMs}, async function (this: SystemWorld, awayMs: number, rewriteMs: number) {
-	const crowd = getCrowd(this);
-	crowd.startTrackingUse();
-	this.notes.set('calls', new Map(crowd.store.calls));
-	await crowd.restoreFromBackup({outageMs: awayMs, rewriteDelayMs: rewriteMs});
+When(restoreAndRewrite, {timeout: longScenarioMs}, async function (this: SystemWorld, outageMs: number, rewriteMs: number) {
+	const simulation = getSimulation(this);
+	simulation.startTrackingUse();
+	this.notes.set('calls', new Map(simulation.store.calls));
+	await simulation.restoreFromBackup({outageMs, rewriteDelayMs: rewriteMs});
 });
 
-When('a target registers that nobody will write again', async function (this: SystemWorld) {
-	const crowd = getCrowd(this);
-	crowd.register('lost');
-	await crowd.advance(settleMs);
-	crowd.excludeFromRewrite('lost');
+When('a target registers that will not register again', async function (this: SystemWorld) {
+	const simulation = getSimulation(this);
+	simulation.register('lost');
+	await simulation.advance(settleMs);
+	simulation.excludeFromRewrite('lost');
 });
 
-Then('no entry sends to that target', function (this: SystemWorld) {
-	assert.equal(getCrowd(this).countUsing('lost'), 0);
-	assert.deepEqual(getCrowd(this).violations, []);
+Then('no entry uses that target', function (this: SystemWorld) {
+	assert.equal(getSimulation(this).countUsing('lost'), 0);
+	assert.deepEqual(getSimulation(this).violations, []);
 });
 
-When('the store comes back from the copy of before that, and an entry starts before all is written again', async function (this: SystemWorld) {
-	const crowd = getCrowd(this);
-	crowd.at(600, () => {
-		crowd.start('late');
+When('the store is restored to before that, and an entry starts before the lost keys are written again', async function (this: SystemWorld) {
+	const simulation = getSimulation(this);
+	simulation.at(600, () => {
+		simulation.start('late');
 	});
-	await crowd.restoreFromBackup({outageMs: 300, rewriteDelayMs: 1500});
+	await simulation.restoreFromBackup({outageMs: 300, rewriteDelayMs: 1500});
 });
 
-When('the store comes back from the copy of before that, and only an entry that starts reaches it', async function (this: SystemWorld) {
-	const crowd = getCrowd(this);
-	for (const id of crowd.entries.keys()) {
-		crowd.withoutStore.add(id);
+When('the store is restored to before that, and only a new entry reaches it', async function (this: SystemWorld) {
+	const simulation = getSimulation(this);
+	for (const id of simulation.entries.keys()) {
+		simulation.withoutStore.add(id);
 	}
 
-	crowd.at(100, () => {
-		crowd.start('late');
+	simulation.at(100, () => {
+		simulation.start('late');
 	});
-	await crowd.restoreFromBackup({outageMs: 0, rewriteDelayMs: 1500});
-	crowd.withoutStore.clear();
-	crowd.setFault('none');
-	await crowd.advance(settleMs);
+	await simulation.restoreFromBackup({outageMs: 0, rewriteDelayMs: 1500});
+	simulation.withoutStore.clear();
+	simulation.setFault('none');
+	await simulation.advance(settleMs);
 });
 
-Then('the entry that has started has served nobody by an older configuration', function (this: SystemWorld) {
-	const crowd = getCrowd(this);
-	assert.deepEqual([...crowd.entries.get('late')!.servedVersions], [crowd.version]);
+Then('the new entry has served no request with an older configuration', function (this: SystemWorld) {
+	const simulation = getSimulation(this);
+	assert.deepEqual([...simulation.entries.get('late')!.servedVersions], [simulation.version]);
 });
 
 Then('it sends nothing to the target that has left', function (this: SystemWorld) {
-	const crowd = getCrowd(this);
-	assert.equal(crowd.countUsing('target-1'), 0);
-	assert.deepEqual([...crowd.entries.get('late')!.usedAfterLeave], []);
+	const simulation = getSimulation(this);
+	assert.equal(simulation.countUsing('target-1'), 0);
+	assert.deepEqual([...simulation.entries.get('late')!.usedAfterLeave], []);
 });
 
-When('one entry loses the store', async function (this: SystemWorld) {
-	const crowd = getCrowd(this);
-	crowd.withoutStore.add('3');
-	crowd.setFault('none');
-	await crowd.advance(settleMs);
+When('one entry cannot reach the store', async function (this: SystemWorld) {
+	const simulation = getSimulation(this);
+	simulation.withoutStore.add('3');
+	simulation.setFault('none');
+	await simulation.advance(settleMs);
 });
 
 When('a target leaves and its registration is removed', async function (this: SystemWorld) {
-	const crowd = getCrowd(this);
-	crowd.store.takeCopy();
-	crowd.leave('target-1');
-	await crowd.advance(settleMs);
-	crowd.remove('target-1');
-	await crowd.advance(settleMs);
+	const simulation = getSimulation(this);
+	simulation.store.takeCopy();
+	simulation.leave('target-1');
+	await simulation.advance(settleMs);
+	simulation.remove('target-1');
+	await simulation.advance(settleMs);
 });
 
 When('the registration of a target is removed', async function (this: SystemWorld) {
-	const crowd = getCrowd(this);
-	crowd.store.takeCopy();
-	crowd.remove('target-1');
-	await crowd.advance(settleMs);
+	const simulation = getSimulation(this);
+	simulation.store.takeCopy();
+	simulation.remove('target-1');
+	await simulation.advance(settleMs);
 });
 
 When('{int} more entries start', async function (this: SystemWorld, count: number) {
-	const crowd = getCrowd(this);
-	crowd.store.takeCopy();
-	await startEntries(crowd, crowd.entries.size + 1, crowd.entries.size + count);
+	const simulation = getSimulation(this);
+	simulation.store.takeCopy();
+	await startEntries(simulation, simulation.entries.size + 1, simulation.entries.size + count);
 });
 
-When('drills, changes, starts, cuts, slow and lost answers are mixed by seed {int} for {int} ms', {timeout: longScenarioMs}, async function (this: SystemWorld, seed: number, ms: number) {
-	await injectRandomFaults(getCrowd(this), seed, ms);
+When('restores, changes, restarts, partitions, slow and lost answers are mixed by seed {int} for {int} ms', {timeout: longScenarioMs}, async function (this: SystemWorld, seed: number, ms: number) {
+	await injectRandomFaults(getSimulation(this), seed, ms);
 });
 
-Then('nothing was taken back or came late', function (this: SystemWorld) {
-	assert.deepEqual(getCrowd(this).violations, []);
+Then('nothing went back to an older state and every change was in force in time', function (this: SystemWorld) {
+	assert.deepEqual(getSimulation(this).violations, []);
 });
 
-Then('log and metrics of every entry tell of the new era, and that its view goes on', async function (this: SystemWorld) {
-	const crowd = getCrowd(this);
-	for (const {id, state: {view}} of crowd.entries.values()) {
+Then('log and metrics of every entry show the new era and an up-to-date view', async function (this: SystemWorld) {
+	const simulation = getSimulation(this);
+	for (const {id, state: {view}} of simulation.entries.values()) {
 		const registry = new Registry();
-		makeViewGauges(registry, () => view, () => crowd.now);
+		makeViewGauges(registry, () => view, () => simulation.now);
 		const text = await registry.metrics();
 		assert.match(text, /^wardswitch_store_era 1$/mv);
-		assert.match(text, new RegExp(`^wardswitch_view_revision ${crowd.store.lastRevision}$`, 'mv'));
+		assert.match(text, new RegExp(`^wardswitch_view_revision ${simulation.store.lastRevision}$`, 'mv'));
 		assert.match(text, /^wardswitch_view_retained_keys 0$/mv);
-		assert.ok(view.getAge(crowd.now) <= longestWaitMs, `${view.getAge(crowd.now)} ms`);
-		assert.ok(crowd.logLines.some(line => line.includes(` ${id}: store was restored from a backup: era 1 revision`)));
+		assert.ok(view.getAge(simulation.now) <= longestWaitMs, `${view.getAge(simulation.now)} ms`);
+		assert.ok(simulation.logLines.some(line => line.includes(` ${id}: store was restored from a backup: era 1 revision`)));
 	}
 });
 
-Then('no entry has dropped a target that is registered', function (this: SystemWorld) {
-	assert.deepEqual([...getCrowd(this).unused], []);
+Then('no entry has stopped using a registered target', function (this: SystemWorld) {
+	assert.deepEqual([...getSimulation(this).unused], []);
 });
 
 Then('no entry has made more than {int} calls since', function (this: SystemWorld, most: number) {
 	const before = this.notes.get('calls') as ReadonlyMap<string, number>;
-	const made = [...getCrowd(this).store.calls].map(([id, count]) => count - (before.get(id) ?? 0));
+	const made = [...getSimulation(this).store.calls].map(([id, count]) => count - (before.get(id) ?? 0));
 	assert.ok(Math.max(...made) <= most, made.join(', '));
 });
 
 Then('no entry has made more than {int} calls in a second', function (this: SystemWorld, most: number) {
-	const {busiestSecond} = getCrowd(this);
+	const {busiestSecond} = getSimulation(this);
 	assert.ok(busiestSecond <= most, String(busiestSecond));
 });
 
 Then('every entry is registered', function (this: SystemWorld) {
-	assert.equal(getCrowd(this).countUnregistered(), 0);
+	assert.equal(getSimulation(this).countUnregistered(), 0);
 });
 
 Then('no more than {int} writes have reached the store within {int} ms', function (this: SystemWorld, most: number, ms: number) {
-	const {writtenAt} = getCrowd(this).store;
+	const {writtenAt} = getSimulation(this).store;
 	const counts = writtenAt.map(at => writtenAt.filter(other => other >= at && other < at + ms).length);
 	assert.ok(Math.max(...counts) <= most, counts.join(', '));
 });
--- a/features/steps/view-steps.ts
+++ b/features/steps/view-steps.ts
@@ -7,13 +7,13 @@
 import {type SystemWorld} from '../support/system-world.js';
 
 const waitMs = 2000;
-/** What a call takes beyond its wait before it is given up on, milliseconds. */
+/** Time beyond its wait after which a call times out, milliseconds. */
 const marginMs = 700;
 
-type Course = {readonly waits: number[]; readonly pauses: number[]};
+type Run = {readonly waits: number[]; readonly pauses: number[]};
 
-/* Runs a view through calls that end as told; time passes as they say, and stands still otherwise. */
-const run = async (ends: readonly string[]): Promise<Course> => {
+/* Runs a view whose calls end as given; the clock advances only by these calls and by pauses. */
+const runView = async (ends: readonly string[]): Promise<Run> => {
 	const left = [...ends];
 	const waits: number[] = [];
 	const pauses: number[] = [];
@@ -54,29 +54,29 @@
 	return {waits, pauses};
 };
 
-const getCourse = (world: SystemWorld): Course => world.notes.get('course') as Course;
+const getRun = (world: SystemWorld): Run => world.notes.get('run') as Run;
 
 Given('a view of a store that answers', function (this: SystemWorld) {
-	this.notes.set('course', undefined);
+	this.notes.set('run', undefined);
 });
 
-When('its calls go as {string}', async function (this: SystemWorld, ends: string) {
-	this.notes.set('course', await run(ends.split(', ')));
+When('its calls end as {string}', async function (this: SystemWorld, ends: string) {
+	this.notes.set('run', await runView(ends.split(', ')));
 });
 
 Then('they wait for {string} ms', function (this: SystemWorld, waits: string) {
-	assert.equal(getCourse(this).waits.join(', '), waits);
+	assert.equal(getRun(this).waits.join(', '), waits);
 });
 
-Then('no pause after a lost call is longer than {int} ms', function (this: SystemWorld, ms: number) {
-	// The first pause follows the reading of all keys.
-	const pauses = getCourse(this).pauses.slice(1);
+Then('no pause after a lost call exceeds {int} ms', function (this: SystemWorld, ms: number) {
+	// The first pause follows the initial read of all keys.
+	const pauses = getRun(this).pauses.slice(1);
 	assert.equal(pauses.length, 6);
 	assert.ok(Math.max(...pauses) <= ms, String(pauses));
 });
 
 Then('the pauses grow from {int} ms to {int} ms', function (this: SystemWorld, first: number, longest: number) {
-	const pauses = getCourse(this).pauses.slice(1);
+	const pauses = getRun(this).pauses.slice(1);
 	assert.equal(pauses.at(0), first);
 	assert.equal(pauses.at(-1), longest);
 	assert.ok(pauses.every((pause, index) => index === 0 || pause >= pauses[index - 1]), String(pauses));
@@ -89,7 +89,7 @@
 	key, value: key, revision, era: 2,
 });
 
-/* A view of era 1 whose next call, a list or a wait, is answered when the scenario says so. */
+/* Opens a view in era 1 whose next call, a list or a wait, is answered by the scenario. */
 const openView = async (isList: boolean): Promise<Scene> => {
 	let turn = 0;
 	let settle: (era: number) => void = String;
@@ -142,7 +142,7 @@
 	return {view, answer: settle, polled};
 };
 
-const takePeerView = async (world: SystemWorld, isList: boolean, era: number): Promise<void> => {
+const mergePeerView = async (world: SystemWorld, isList: boolean, era: number): Promise<void> => {
 	const scene = await openView(isList);
 	await scene.polled;
 	scene.view.mergeSnapshot({asOf: {era: 2, number: lowRevision}, ageMs: 0, items: [item('new', lowRevision)]});
@@ -154,23 +154,23 @@
 	world.notes.set('view', scene.view);
 };
 
-Given('a view that knows a store of era 1', function (this: SystemWorld) {
+Given('a view of a store in era 1', function (this: SystemWorld) {
 	this.notes.set('view', undefined);
 });
 
-When('a list of era 1 is on its way, a peer\'s view of era 2 comes in, and then the answer', async function (this: SystemWorld) {
-	await takePeerView(this, true, 1);
+When('a list answer of era 1 is pending, a peer\'s view of era 2 arrives, and then the answer', async function (this: SystemWorld) {
+	await mergePeerView(this, true, 1);
 });
 
-When('a wait\'s end of era 1 is on its way, a peer\'s view of era 2 comes in, and then the answer', async function (this: SystemWorld) {
-	await takePeerView(this, false, 1);
+When('a wait answer of era 1 is pending, a peer\'s view of era 2 arrives, and then the answer', async function (this: SystemWorld) {
+	await mergePeerView(this, false, 1);
 });
 
-When('a wait of era 1 is on its way, a peer\'s view of era 2 comes in, and the wait ends with changes of era 2', async function (this: SystemWorld) {
-	await takePeerView(this, false, 2);
+When('a wait of era 1 is pending, a peer\'s view of era 2 arrives, and the wait ends with changes of era 2', async function (this: SystemWorld) {
+	await mergePeerView(this, false, 2);
 });
 
-Then('the view is of era 2, as the peer\'s, and has dropped an answer', function (this: SystemWorld) {
+Then('the view equals the peer\'s, in era 2, and has ignored an answer', function (this: SystemWorld) {
 	const view = this.notes.get('view') as StoreView;
 	assert.deepEqual(view.asOf, {era: 2, number: lowRevision});
 	assert.equal(view.get('new')?.value, 'new');
@@ -178,7 +178,7 @@
 	assert.ok(view.droppedAnswers > 0);
 });
 
-Then('the view is of era 2, as the peer\'s', function (this: SystemWorld) {
+Then('the view equals the peer\'s, in era 2', function (this: SystemWorld) {
 	const view = this.notes.get('view') as StoreView;
 	assert.deepEqual(view.asOf, {era: 2, number: lowRevision});
 	assert.equal(view.get('former'), undefined);
--- a/features/support/inject-random-faults.ts
+++ b/features/support/inject-random-faults.ts
@@ -3,9 +3,9 @@
 import {type StoreSimulation} from './store-simulation.js';
 
 type Draw = (count: number) => number;
-type Disturbance = (crowd: StoreSimulation, draw: Draw, turn: number) => void;
+type Disturbance = (simulation: StoreSimulation, draw: Draw, turn: number) => void;
 
-/** Time after the last trouble until the mixture ends, milliseconds. */
+/** Time without faults at the end, milliseconds. */
 const settleMs = 6000;
 const maximumPauseMs = 900;
 const maximumFaultMs = 2500;
@@ -14,90 +14,90 @@
 const normalMs = 4;
 const lostShare = 0.4;
 
-/* A trouble lasts for a while, and ends by itself. */
-const makeTemporaryFault = (begin: (crowd: StoreSimulation, draw: Draw) => () => void): Disturbance => (crowd, draw) => {
-	crowd.suspendDeadlines();
-	const end = begin(crowd, draw);
-	crowd.at(300 + draw(maximumFaultMs), () => {
+/* Makes a fault that ends after a random time; deadlines are suspended meanwhile. */
+const makeTemporaryFault = (begin: (simulation: StoreSimulation, draw: Draw) => () => void): Disturbance => (simulation, draw) => {
+	simulation.suspendDeadlines();
+	const end = begin(simulation, draw);
+	simulation.at(300 + draw(maximumFaultMs), () => {
 		end();
-		crowd.resumeDeadlines();
+		simulation.resumeDeadlines();
 	});
 };
 
-const pick = (crowd: StoreSimulation, draw: Draw): string => [...crowd.entries.keys()][draw(crowd.entries.size)];
+const pick = (simulation: StoreSimulation, draw: Draw): string => [...simulation.entries.keys()][draw(simulation.entries.size)];
 
 const disturbances: readonly Disturbance[] = [
-	crowd => {
-		crowd.configure();
+	simulation => {
+		simulation.configure();
 	},
-	(crowd, _draw, turn) => {
-		crowd.register(`stirred-${turn}`);
+	(simulation, _draw, turn) => {
+		simulation.register(`stirred-${turn}`);
 	},
-	(crowd, draw) => {
-		const [id] = crowd.listStaying().slice(draw(3));
+	(simulation, draw) => {
+		const [id] = simulation.listStaying().slice(draw(3));
 		if (id !== undefined) {
-			crowd.leave(id);
-			crowd.at(1500 + draw(1500), () => {
-				crowd.remove(id);
+			simulation.leave(id);
+			simulation.at(1500 + draw(1500), () => {
+				simulation.remove(id);
 			});
 		}
 	},
-	crowd => {
-		crowd.store.compact();
+	simulation => {
+		simulation.store.compact();
 	},
-	crowd => {
-		crowd.store.takeCopy();
+	simulation => {
+		simulation.store.takeCopy();
 	},
-	makeTemporaryFault((crowd, draw) => {
-		const id = pick(crowd, draw);
-		crowd.withoutStore.add(id);
-		crowd.setFault('none');
+	makeTemporaryFault((simulation, draw) => {
+		const id = pick(simulation, draw);
+		simulation.withoutStore.add(id);
+		simulation.setFault('none');
 		return () => {
-			crowd.withoutStore.delete(id);
-			crowd.setFault('none');
+			simulation.withoutStore.delete(id);
+			simulation.setFault('none');
 		};
 	}),
-	makeTemporaryFault((crowd, draw) => {
-		const {address} = crowd.entries.get(pick(crowd, draw))!;
-		crowd.partitioned.add(address);
+	makeTemporaryFault((simulation, draw) => {
+		const {address} = simulation.entries.get(pick(simulation, draw))!;
+		simulation.partitioned.add(address);
 		return () => {
-			crowd.partitioned.delete(address);
+			simulation.partitioned.delete(address);
 		};
 	}),
-	makeTemporaryFault(crowd => {
-		crowd.storeRoundTripMs = slowMs;
+	makeTemporaryFault(simulation => {
+		simulation.storeRoundTripMs = slowMs;
 		return () => {
-			crowd.storeRoundTripMs = normalMs;
+			simulation.storeRoundTripMs = normalMs;
 		};
 	}),
-	makeTemporaryFault(crowd => {
-		crowd.lostAnswerShare = lostShare;
+	makeTemporaryFault(simulation => {
+		simulation.lostAnswerShare = lostShare;
 		return () => {
-			crowd.lostAnswerShare = 0;
+			simulation.lostAnswerShare = 0;
 		};
 	}),
-	makeTemporaryFault((crowd, draw) => {
-		const id = pick(crowd, draw);
-		crowd.kill(id);
+	makeTemporaryFault((simulation, draw) => {
+		const id = pick(simulation, draw);
+		simulation.kill(id);
 		return () => {
-			crowd.start(`${id}+`);
+			simulation.start(`${id}+`);
 		};
 	}),
 ];
 
-/** Mixes drills of the store with changes and other trouble, drawn by a seed, and ends in calm. */
-export async function injectRandomFaults(crowd: StoreSimulation, seed: number, ms: number): Promise<void> {
+/** Runs a random mixture of restores, changes and faults, drawn by a seed, until the time `ms`; then lets the entries settle without faults. */
+export async function injectRandomFaults(simulation: StoreSimulation, seed: number, ms: number): Promise<void> {
 	const generator = xoroshiro128plus(seed);
 	const draw: Draw = count => Math.floor(uniformFloat64(generator) * count);
-	for (let turn = 0; crowd.now < ms; turn++) {
-		await crowd.advance(10 + draw(maximumPauseMs));
-		const isDrill = draw(8) === 0;
-		if (isDrill) {
-			await crowd.restoreFromBackup({outageMs: draw(2) * draw(maximumFaultMs), rewriteDelayMs: draw(maximumRewriteDelayMs), isSilent: draw(3) === 0});
+	for (let turn = 0; simulation.now < ms; turn++) {
+		await simulation.advance(10 + draw(maximumPauseMs));
+		const isRestore = draw(8) === 0;
+		if (isRestore) {
+			await simulation.restoreFromBackup({outageMs: draw(2) * draw(maximumFaultMs), rewriteDelayMs: draw(maximumRewriteDelayMs), isSilent: draw(3) === 0});
 		} else {
-			disturbances[draw(disturbances.length)](crowd, draw, turn);
+			disturbances[draw(disturbances.length)](simulation, draw, turn);
 		}
 	}
 
-	await crowd.advance(maximumFaultMs + settleMs);
+	await simulation.advance(maximumFaultMs + settleMs);
 }
--- a/features/support/make-simulated-entry.ts
+++ b/features/support/make-simulated-entry.ts
@@ -10,7 +10,7 @@
 	readonly id: string;
 	readonly address: string;
 	readonly availabilityZone: string;
-	/** The store as this entry reaches it. */
+	/** The store, with the delays and losses of this entry's calls. */
 	readonly store: ChangeFeed & Registry;
 	readonly connect: (peer: string) => Promise<LinkConnection>;
 	readonly clock: () => number;
@@ -18,7 +18,7 @@
 	readonly log: (line: string) => void;
 };
 
-/** Puts an entry together as a process does, but for callers and sockets. */
+/** Wires an entry as a process does, without callers and sockets. */
 export function makeSimulatedEntry({id, address, availabilityZone, store, connect, clock, random, log}: EntryOptions): SimulatedEntry {
 	const path = makeForwardPath({
 		availabilityZone,
--- a/features/support/make-table-snapshot.ts
+++ b/features/support/make-table-snapshot.ts
@@ -2,7 +2,7 @@
 import {type Row} from '../../src/table/row.js';
 import {TableSnapshot} from '../../src/table/table-snapshot.js';
 
-/** Makes a table as a process holds it. */
+/** Makes a limits table from rows, as a process holds it. */
 export function makeTableSnapshot(rows: readonly Row[], version: number, changeId: string): TableSnapshot {
 	const pages = encodePages(rows);
 	const head = {
--- a/features/support/make-unreliable-store.ts
+++ b/features/support/make-unreliable-store.ts
@@ -4,26 +4,26 @@
 import {type Registry} from '../../src/key-value/registry.js';
 
 type NetworkBehaviour = {
-	/** Called for each call. */
+	/** Called for each call to the store. */
 	readonly onCall: () => void;
-	/** One way of a call and back, milliseconds. */
+	/** Round-trip time of a call, milliseconds. */
 	readonly getRoundTripMs: () => number;
-	/** Whether the answer of a call is lost, after it was carried out. */
+	/** Whether the answer of the current call is lost after its execution. */
 	readonly isLost: () => boolean;
 };
 
-/** A store as a process reaches it: its calls take time, and some answers are lost. */
-export function makeUnreliableStore(store: ChangeFeed & Registry, {onCall, getRoundTripMs: getMs, isLost}: NetworkBehaviour): ChangeFeed & Registry {
+/** Wraps a store so that its calls take time and some answers are lost. */
+export function makeUnreliableStore(store: ChangeFeed & Registry, {onCall, getRoundTripMs, isLost}: NetworkBehaviour): ChangeFeed & Registry {
 	const delay = async (ms: number): Promise<void> => new Promise(resolve => {
 		setTimeout(resolve, ms);
 	});
-	const wrap = <Words extends readonly unknown[], Answer>(call: (...words: Words) => Promise<Answer>) => async (...words: Words): Promise<Answer> => {
+	const wrap = <CallParameters extends readonly unknown[], Answer>(call: (...parameters: CallParameters) => Promise<Answer>) => async (...parameters: CallParameters): Promise<Answer> => {
 		onCall();
-		await delay(getMs() / 2);
-		const answer = await call(...words);
-		const heard = isLost() ? err(new PlatformError('the answer is lost', 'unknown')) as Answer : answer;
-		await delay(getMs() / 2);
-		return heard;
+		await delay(getRoundTripMs() / 2);
+		const answer = await call(...parameters);
+		const received = isLost() ? err(new PlatformError('the answer is lost', 'unknown')) as Answer : answer;
+		await delay(getRoundTripMs() / 2);
+		return received;
 	};
 
 	return {
--- a/features/support/simulated-entry.ts
+++ b/features/support/simulated-entry.ts
@@ -1,19 +1,19 @@
 import {type makeEntryState} from '../../src/forward/make-entry-state.js';
 import {type makeForwardPath} from '../../src/forward/make-forward-path.js';
 
-/** An entry of a crowd that follows one store, and what was seen at it. */
+/** An entry of the store simulation, with what was observed at it. */
 export type SimulatedEntry = {
 	readonly id: string;
 	readonly address: string;
 	readonly startedAt: number;
 	readonly path: ReturnType<typeof makeForwardPath>;
 	readonly state: ReturnType<typeof makeEntryState>;
-	/** Versions that have served callers here, the last at the end. */
+	/** Versions of the configuration with which it has served, in order. */
 	readonly servedVersions: Set<number>;
 	version: number;
-	/** Targets that were seen not to be used any more since they have left, and those that have left and were used. */
+	/** Targets no longer used after they left, and targets that were used after they left. */
 	readonly dropped: Set<string>;
 	readonly usedAfterLeave: Set<string>;
-	/** Targets that were used at the last look. */
+	/** Targets in use at the last check. */
 	used: ReadonlySet<string>;
 };
--- a/features/support/store-simulation.ts
+++ b/features/support/store-simulation.ts
@@ -9,13 +9,14 @@
 import {makeUnreliableStore} from './make-unreliable-store.js';
 import {type SimulatedEntry} from './simulated-entry.js';
 
-/** What an operator or a target has written: the document wanted now, and since when. */
+/** The document that an operator or a target last wrote under a key, and when, milliseconds. */
 type ExpectedDocument = {readonly value: unknown; readonly at: number};
 type RestoreOptions = {
-	/** For how long the store answers nobody before it is back. */
+	/** Outage of the store before it is restored, milliseconds. */
 	readonly outageMs: number;
-	/** For how long after its return operator and targets write nothing again. */
+	/** Time after the restore until operator and targets write lost keys again, milliseconds. */
 	readonly rewriteDelayMs: number;
+	/** Whether open waits stay pending instead of being answered at the restore. */
 	readonly isSilent?: boolean;
 };
 
@@ -24,36 +25,36 @@
 const latencyMs = 2;
 const bytesPerSecond = 5_000_000;
 const zones = 3;
-/** Longest time from an accepted change, or from the end of what kept it back, until it is in force everywhere. */
+/** Deadline for a change to be in force at all entries, milliseconds after it was accepted or after the end of a fault that delayed it. */
 const configurationDeadlineMs = 2000;
-/** The same for a target that leaves, until nothing new is sent to it. */
+/** Deadline for a leaving target to get no new requests, counted in the same way, milliseconds. */
 const drainDeadlineMs = 2000;
-/** After a drill, what was registered is used again, and what is gone is not, at the latest after this time. */
+/** Deadline after a restore for registered targets to be used again and gone ones not to be, milliseconds. */
 const settleDeadlineMs = 3000;
 const configurationKey = 'configuration';
 
 const getKey = (id: string): string => `targets/${id}`;
 
-/** Entries that follow one store, as they are put together in a process but for callers and sockets, by one clock. */
+/** Simulation of entries that follow one store, on one mock clock. The entries are wired as in a process, without callers and sockets. */
 export class StoreSimulation {
 	now = 0;
 	readonly store = new MemoryStore(() => this.now);
 	readonly entries = new Map<string, SimulatedEntry>();
-	/** What must never be seen, with the time. */
+	/** Violations of the guarantees under test, with their times. */
 	readonly violations: string[] = [];
 	readonly logLines: string[] = [];
-	/** Entries that do not reach the others, and those that do not reach the store. */
+	/** Addresses of entries that cannot reach the other entries, and ids of those that cannot reach the store. */
 	readonly partitioned = new Set<string>();
 	readonly withoutStore = new Set<string>();
-	/** Targets that are registered, and that an entry has ceased to use since `startWatchingUse`. */
+	/** Registered targets that an entry has stopped using since `startTrackingUse`. */
 	readonly unused = new Set<string>();
-	/** One way of a call of the store and back, milliseconds, and the share of answers that are lost. */
+	/** Round-trip time of a call to the store, milliseconds, and the share of answers that are lost. */
 	storeRoundTripMs = 4;
 	lostAnswerShare = 0;
 	version = 0;
 	private readonly expectedDocuments = new Map<string, ExpectedDocument>();
 	private readonly leftAtById = new Map<string, number>();
-	/** Until when a bound does not hold yet because of the last drill or cut. */
+	/** Time from which deadlines apply again after the last fault, milliseconds; infinite during a fault. */
 	private deadlinesApplyFrom = 0;
 	private nextPort = 1000;
 	private activeFaults = 0;
@@ -66,7 +67,7 @@
 		bytesPerSecond, latencyMs, clock: () => this.now, isReachable: (from, to) => !this.partitioned.has(from) && !this.partitioned.has(to),
 	});
 
-	/** Most calls that an entry has made within a second. */
+	/** Maximum number of calls that one entry has made within a second. */
 	get busiestSecond(): number {
 		return Math.max(0, ...this.callsPerSecond.values());
 	}
@@ -77,12 +78,12 @@
 		mock.timers.enable({apis: ['setTimeout', 'setInterval']});
 	}
 
-	/** Draws a number below `count`. */
+	/** Draws a random whole number below `count`. */
 	draw(count: number): number {
 		return Math.floor(this.random() * count);
 	}
 
-	/** Starts an entry, which knows where up to three others take links. */
+	/** Starts an entry with the addresses of up to three others as seeds. */
 	start(id: string): void {
 		const address = `10.0.0.${id}:1`;
 		const seeds = [...this.entries.values()].slice(0, 3).map(entry => entry.address);
@@ -114,7 +115,7 @@
 		entry.state.start(seeds);
 	}
 
-	/** Ends an entry without notice. */
+	/** Kills an entry without notice. */
 	kill(id: string): void {
 		const entry = this.entries.get(id)!;
 		this.entries.delete(id);
@@ -123,19 +124,19 @@
 		entry.path.close();
 	}
 
-	/** The operator writes the next version, which the store accepts. */
+	/** Writes the next version of the configuration, as the operator does. */
 	configure(): void {
 		this.version += 1 + this.draw(3);
 		this.configuredAt = this.now;
 		this.write(configurationKey, this.makeConfiguration(this.version));
 	}
 
-	/** The operator writes a document of the configuration's as it is, whatever it says. */
+	/** Writes any version of the configuration, without expecting it to be in force. */
 	writeConfiguration(version: number): void {
 		this.store.put(configurationKey, this.makeConfiguration(version));
 	}
 
-	/** A target registers. */
+	/** Registers a target. */
 	register(id: string, more: Partial<Target> = {}): void {
 		const target: Target = {
 			id, service: 'desk', address: '10.1.0.1', port: this.nextPort++, availabilityZone: 'zone-0', slots: 8, isLeaving: false, ...more,
@@ -143,47 +144,47 @@
 		this.write(getKey(id), target);
 	}
 
-	/** A target says that it leaves. */
+	/** Marks the registration of a target as leaving. */
 	leave(id: string): void {
 		this.leftAtById.set(id, this.now);
 		this.write(getKey(id), {...this.expectedDocuments.get(getKey(id))!.value as Target, isLeaving: true});
 	}
 
-	/** A target's registration is removed, by itself or since it has been silent. */
+	/** Removes the registration of a target, as on its own request or on expiry. */
 	remove(id: string): void {
 		this.leftAtById.set(id, this.leftAtById.get(id) ?? this.now);
 		this.expectedDocuments.delete(getKey(id));
 		this.store.remove(getKey(id));
 	}
 
-	/** Nobody writes again what a target has registered; it is not expected to be used. */
+	/** Excludes a registration from rewriting after a restore; the target is not expected to be used. */
 	excludeFromRewrite(id: string): void {
 		this.expectedDocuments.delete(getKey(id));
 	}
 
-	/** Has something happen a little later. */
+	/** Schedules an action after `ms` milliseconds. */
 	at(ms: number, run: () => void): void {
 		this.scheduled.push({at: this.now + ms, run});
 	}
 
-	/** Begins to look for targets that are not used though they are registered. */
+	/** Starts to record registered targets that are no longer used. */
 	startTrackingUse(): void {
 		this.isTrackingUse = true;
 	}
 
-	/** No bound on time holds from now on, until `calm` was called as often. */
+	/** Suspends deadlines until `resumeDeadlines` was called as often. */
 	suspendDeadlines(): void {
 		this.activeFaults++;
 		this.deadlinesApplyFrom = Number.POSITIVE_INFINITY;
 	}
 
-	/** Bounds on time hold again, from now, unless another trouble lasts. */
+	/** Applies deadlines again from now on, unless another fault is active. */
 	resumeDeadlines(): void {
 		this.activeFaults--;
 		this.deadlinesApplyFrom = this.activeFaults === 0 ? this.now : this.deadlinesApplyFrom;
 	}
 
-	/** The store goes away and comes back from its copy; later all that it has lost is written again by who wrote it. */
+	/** Restores the store from its backup after an outage; later the writers write again all keys that it has lost. */
 	async restoreFromBackup({outageMs: awayMs, rewriteDelayMs: rewriteMs, isSilent}: RestoreOptions): Promise<void> {
 		this.suspendDeadlines();
 		if (awayMs > 0) {
@@ -198,7 +199,7 @@
 		this.resumeDeadlines();
 	}
 
-	/** All that the store does not hold is written again by who wrote it. */
+	/** Writes again all documents that the store has lost, as their writers do. */
 	rewriteLostKeys(): void {
 		for (const [key, {value}] of this.expectedDocuments) {
 			if (this.store.read(key) !== JSON.stringify(value)) {
@@ -206,7 +207,7 @@
 			}
 		}
 
-		// Who has left or lapsed takes its registration back, or is silent for too long.
+		// Registrations that were removed or had expired are removed again.
 		for (const id of this.leftAtById.keys()) {
 			if (!this.expectedDocuments.has(getKey(id))) {
 				this.store.remove(getKey(id));
@@ -214,14 +215,14 @@
 		}
 	}
 
-	/** Sets what calls to the store come to for all entries, but for those that are without it. */
+	/** Sets the fault of the store for all entries; those in `withoutStore` never reach it. */
 	setFault(fault: 'none' | 'down'): void {
 		for (const id of this.entries.keys()) {
 			this.store.setFault(id, this.withoutStore.has(id) ? 'down' : fault);
 		}
 	}
 
-	/** Lets time pass. */
+	/** Advances the clock by `ms` milliseconds. */
 	async advance(ms: number): Promise<void> {
 		for (const end = this.now + ms; this.now < end;) {
 			this.now += clockStepMs;
@@ -238,22 +239,22 @@
 		}
 	}
 
-	/** Targets that are registered and do not leave. */
+	/** Ids of registered targets that are not leaving. */
 	listStaying(): string[] {
 		return [...this.expectedDocuments.keys()].filter(key => key.startsWith(getKey(''))).map(key => key.slice(getKey('').length)).filter(id => !this.leftAtById.has(id));
 	}
 
-	/** Entries that send to a target. */
+	/** Number of entries that use a target. */
 	countUsing(id: string): number {
 		return [...this.entries.values()].filter(entry => this.isUsed(entry, id)).length;
 	}
 
-	/** Entries whose address is not in the store. */
+	/** Number of entries that are not registered in the store with their address. */
 	countUnregistered(): number {
 		return [...this.entries.values()].filter(({id, address}) => this.store.read(`wardswitch/entries/${id}`) !== address).length;
 	}
 
-	/** Ends what runs, and gives real time back. */
+	/** Stops all entries and restores the real timers. */
 	close(): void {
 		for (const id of this.entries.keys()) {
 			this.kill(id);
@@ -262,7 +263,7 @@
 		mock.timers.reset();
 	}
 
-	/* An entry without a configuration in force serves nobody. */
+	/* An entry without a configuration in force serves no requests. */
 	private isUsed({path, version}: SimulatedEntry, id: string): boolean {
 		return version > 0 && path.book.directory.list('desk').some(target => target.id === id);
 	}
@@ -311,13 +312,13 @@
 		for (const [id, leftAt] of this.leftAtById) {
 			const isUsed = this.isUsed(entry, id);
 			if (isUsed && entry.dropped.has(id)) {
-				this.reportViolation(`entry ${entry.id} sends to ${id} again, which has left`);
+				this.reportViolation(`entry ${entry.id} uses ${id} again, which has left`);
 			}
 
-			// What was said while the store was in trouble may be known to no entry: it is over when nobody writes it again.
-			const boundMs = leftAt < this.deadlinesApplyFrom ? settleDeadlineMs : drainDeadlineMs;
-			if (isUsed && this.now - Math.max(leftAt, this.deadlinesApplyFrom, entry.startedAt) > boundMs && !this.isIsolated(entry)) {
-				this.reportViolation(`entry ${entry.id} sends to ${id}, which left ${this.now - leftAt} ms before`);
+			// No entry may know a departure written during a fault of the store; it takes effect when the registration is not written again.
+			const deadlineMs = leftAt < this.deadlinesApplyFrom ? settleDeadlineMs : drainDeadlineMs;
+			if (isUsed && this.now - Math.max(leftAt, this.deadlinesApplyFrom, entry.startedAt) > deadlineMs && !this.isIsolated(entry)) {
+				this.reportViolation(`entry ${entry.id} uses ${id}, which left ${this.now - leftAt} ms before`);
 			}
 
 			if (isUsed) {
@@ -332,7 +333,7 @@
 			const since = Math.max(at, this.deadlinesApplyFrom, entry.startedAt);
 			const isExpected = key.startsWith(getKey('')) && !this.leftAtById.has(id) && this.now - since > settleDeadlineMs && !this.isIsolated(entry);
 			if (isExpected && !this.isUsed(entry, id)) {
-				this.reportViolation(`entry ${entry.id} does not send to ${id}, which has been registered for ${this.now - at} ms`);
+				this.reportViolation(`entry ${entry.id} does not use ${id}, which has been registered for ${this.now - at} ms`);
 			}
 		}
 
@@ -350,15 +351,15 @@
 		entry.used = used;
 	}
 
-	/* Whether an entry reaches neither the others nor the store. */
+	/* Whether an entry can reach neither the other entries nor the store. */
 	private isIsolated({id, address}: SimulatedEntry): boolean {
 		return this.partitioned.has(address) && this.withoutStore.has(id);
 	}
 
-	/* The first of each kind is enough. */
-	private reportViolation(fault: string): void {
+	/* The first few violations are enough. */
+	private reportViolation(violation: string): void {
 		if (this.violations.length < 5) {
-			this.violations.push(`${this.now} ms: ${fault}`);
+			this.violations.push(`${this.now} ms: ${violation}`);
 		}
 	}
 
--- a/features/view.feature
+++ b/features/view.feature
@@ -1,56 +1,56 @@
-Feature: A view of the store notices soon that the store is back
+Feature: A view of the store recovers quickly after an outage and never goes back to older data
 
-  Scenario: Calls wait only briefly while the store does not answer
+  Scenario: Calls use a short wait while the store does not answer
     Given a view of a store that answers
-    When its calls go as "answered, lost, lost, answered, answered"
+    When its calls end as "answered, lost, lost, answered, answered"
     Then they wait for "2000, 2000, 300, 300, 2000" ms
 
-  Scenario: Calls that were given up on follow each other without a pause
+  Scenario: Calls that timed out are followed by the next almost at once
     Given a view of a store that answers
-    When its calls go as "answered, lost, lost, lost, lost, lost, lost, answered"
-    Then no pause after a lost call is longer than 50 ms
+    When its calls end as "answered, lost, lost, lost, lost, lost, lost, answered"
+    Then no pause after a lost call exceeds 50 ms
 
-  Scenario Outline: <answer> of a former era that comes late takes nothing back
-    Given a view that knows a store of era 1
-    When <answer> of era 1 is on its way, a peer's view of era 2 comes in, and then the answer
-    Then the view is of era 2, as the peer's, and has dropped an answer
+  Scenario Outline: <answer> of an earlier era that arrives late does not revert the view
+    Given a view of a store in era 1
+    When <answer> of era 1 is pending, a peer's view of era 2 arrives, and then the answer
+    Then the view equals the peer's, in era 2, and has ignored an answer
 
     Examples:
       | answer        |
-      | a list        |
-      | a wait's end  |
-
-  Scenario: Changes after a revision of a former era do not count in the new one
-    Given a view that knows a store of era 1
-    When a wait of era 1 is on its way, a peer's view of era 2 comes in, and the wait ends with changes of era 2
-    Then the view is of era 2, as the peer's
-
-  Scenario: What says less than what is known does not count, and peers are told so
-    Given a view that knows configuration 7 and a target that leaves
-    When a newer view tells of configuration 5, and that the target is ready
-    Then the view goes by configuration 7 and a target that leaves
-    And a peer that takes it over does as well
-    When a newer view tells of configuration 8, and of a later life of the target
-    Then the view goes by configuration 8 and a target that is ready
-
-  # A target that a peer knew to be gone was kept for two seconds as one that registers again.
-  Scenario: What a peer knows to have been removed is not kept
-    Given a view that knows configuration 7 and a target that leaves
-    When it takes over a peer's view of a new era, which lacks the target since it was removed
-    Then the view goes by configuration 7 and no target
-
-  Scenario: Peers are told of a target that leaves for a while after its registration has gone
-    Given a directory that knows of a target that leaves
-    When its registration has gone
-    Then peers are told for 5000 ms more that it leaves
-
-  # What became of a renewal that was under way hid that the key was gone, for as long as until the next renewal.
-  Scenario: A registration whose renewal is under way as the store goes back is written again
-    Given a registration that is renewed by a call under way
-    When the store goes back without it, and the call is answered
+      | a list answer |
+      | a wait answer |
+
+  Scenario: Changes after a revision of an earlier era are ignored in the new one
+    Given a view of a store in era 1
+    When a wait of era 1 is pending, a peer's view of era 2 arrives, and the wait ends with changes of era 2
+    Then the view equals the peer's, in era 2
+
+  Scenario: An item older than the known one is ignored, and peers receive the newer one
+    Given a view with configuration 7 and a target that is leaving
+    When a newer view has configuration 5 and the target as ready
+    Then the view has configuration 7 and a target that is leaving
+    And a peer that merges this view has the same
+    When a newer view has configuration 8 and a later incarnation of the target
+    Then the view has configuration 8 and a target that is ready
+
+  # Guards against keeping a target for two seconds, as if it could register again, although a peer knows that it was removed.
+  Scenario: An item that a peer knows to have been removed is not retained
+    Given a view with configuration 7 and a target that is leaving
+    When it merges a peer's view of a new era, in which the target was removed
+    Then the view has configuration 7 and no target
+
+  Scenario: Peers are informed of a departure for a while after the registration has disappeared
+    Given a directory with a target that is leaving
+    When its registration disappears
+    Then peers are informed of the departure for 5000 ms more
+
+  # Guards against the result of a pending renewal hiding the loss of the key until the next renewal.
+  Scenario: A registration with a pending renewal is written again after the store is restored without it
+    Given a registration with a pending renewal call
+    When the store is restored without it, and the call is answered
     Then it is written again within 2100 ms
 
   Scenario: Calls that are refused at once are spaced
     Given a view of a store that answers
-    When its calls go as "answered, refused, refused, refused, refused, refused, refused, answered"
+    When its calls end as "answered, refused, refused, refused, refused, refused, refused, answered"
     Then the pauses grow from 50 ms to 1000 ms
--- a/scripts/mix-drills.js
+++ b/scripts/mix-drills.js
@@ -1,4 +1,4 @@
-/* Mixes drills of the store with other trouble for a range of seeds: `node scripts/mix-drills.js FIRST LAST`, after a build. */
+/* Runs the store simulation with random restores and faults for a range of seeds: `node scripts/mix-drills.js FIRST LAST`, after a build. */
 import process from 'node:process';
 import {StoreSimulation} from '../dist/features/support/store-simulation.js';
 import {injectRandomFaults} from '../dist/features/support/inject-random-faults.js';
--- a/src/membership/membership.ts
+++ b/src/membership/membership.ts
@@ -76,12 +76,12 @@
 
 	/** The state of another entry at `now`. */
 	getState(id: string, now: number): PeerState {
-		const heardAt = this.members.get(id)?.lastHeartbeatAt;
-		if (heardAt === undefined) {
+		const lastHeartbeatAt = this.members.get(id)?.lastHeartbeatAt;
+		if (lastHeartbeatAt === undefined) {
 			return 'unheard';
 		}
 
-		const silenceMs = now - heardAt;
+		const silenceMs = now - lastHeartbeatAt;
 		const timeoutScale = Math.max(1, this.members.size / unscaledMembers);
 		if (silenceMs < suspectAfterMs * timeoutScale) {
 			return 'live';
--- a/src/view/removed-items.ts
+++ b/src/view/removed-items.ts
@@ -11,7 +11,7 @@
 export class RemovedItems {
 	private readonly entries = new Map<string, Removed>();
 
-	constructor(private readonly guard: ItemComparator) {}
+	constructor(private readonly comparator: ItemComparator) {}
 
 	get(key: string): Removed | undefined {
 		return this.entries.get(key);
@@ -25,7 +25,7 @@
 	/** Whether an item describes something that is known to have been removed. */
 	hasRemoved(item: StoredItem): boolean {
 		const removed = this.entries.get(item.key)?.item;
-		return removed !== undefined && this.guard.isSameIncarnation(removed, item);
+		return removed !== undefined && this.comparator.isSameIncarnation(removed, item);
 	}
 
 	values(): Iterable<Removed> {
@@ -34,7 +34,7 @@
 
 	/** Removals that the comparator recognises if a restored store holds the items again, in the form sent to peers. */
 	list(now: number): NonNullable<ViewSnapshot['removed']> {
-		return [...this.entries.values()].filter(({item}) => this.guard.isSameIncarnation(item, item)).map(({item, at}) => ({item, agoMs: now - at}));
+		return [...this.entries.values()].filter(({item}) => this.comparator.isSameIncarnation(item, item)).map(({item, at}) => ({item, agoMs: now - at}));
 	}
 
 	/**
--- a/src/view/store-view.ts
+++ b/src/view/store-view.ts
@@ -159,7 +159,7 @@
 		return {asOf: this.revision, ageMs: this.getAge(now), ...this.items.getSnapshot(now)};
 	}
 
-	/** Merges a peer's view: all of it if it is newer, else its newer items. Returns whether anything changed. */
+	/** Merges a peer's view: all of it if it is newer, and single items that are newer. Returns whether anything changed. */
 	mergeSnapshot(snapshot: ViewSnapshot): boolean {
 		const now = this.options.clock();
 		const hasReleased = this.items.mergeRemoved(snapshot, now);
@@ -221,12 +221,12 @@
 	private async readChanges(): Promise<CallResult> {
 		const {feed, prefix, waitMs, clock} = this.options;
 		const requested = this.revision;
-		const ended = new Promise<undefined>(resolve => {
+		const aborted = new Promise<undefined>(resolve => {
 			this.abortWait = () => {
 				resolve(undefined);
 			};
 		});
-		const answer = await Promise.race([feed.poll(prefix, requested.number, this.isStoreUnavailable ? Math.min(unavailableWaitMs, waitMs) : waitMs), ended]);
+		const answer = await Promise.race([feed.poll(prefix, requested.number, this.isStoreUnavailable ? Math.min(unavailableWaitMs, waitMs) : waitMs), aborted]);
 		const now = clock();
 		if (answer === undefined) {
 			return 'unused';
