--- a/features/restored-store.feature
+++ b/features/restored-store.feature
@@ -60,14 +60,14 @@
   Scenario: Values that the backup lacks stay in force until they are written again
     When the operator changes the configuration, a target registers and another leaves
     And the entries run for 1000 ms
-    And the store is restored to before that after 300 ms, and the lost keys are written again 1500 ms later
+    And the store is restored to the state before that after 300 ms, and the lost keys are written again 1500 ms later
     And the entries run for 5000 ms
     Then nothing went back to an older state and every change was in force in time
     And no entry has stopped using a registered target
 
   Scenario: Values that are not written again are dropped after a while
     When a target registers that will not register again
-    And the store is restored to before that after 300 ms, and the lost keys are written again 500 ms later
+    And the store is restored to the state before that after 300 ms, and the lost keys are written again 500 ms later
     And the entries run for 4000 ms
     Then no entry uses that target
 
@@ -75,7 +75,7 @@
   Scenario: An entry that starts after the restore gets the newer configuration from its peers
     When the operator changes the configuration, a target registers and another leaves
     And the entries run for 1000 ms
-    And the store is restored to before that, and an entry starts before the lost keys are written again
+    And the store is restored to the state before that, and an entry starts before the lost keys are written again
     Then the new entry has served no request with an older configuration
     And it sends nothing to the target that has left
     And nothing went back to an older state and every change was in force in time
@@ -84,13 +84,13 @@
   Scenario: A new entry knows the new era before its peers do
     When the operator changes the configuration, a target registers and another leaves
     And the entries run for 1000 ms
-    And the store is restored to before that, and only a new entry reaches it
+    And the store is restored to the state before that, and only a new entry reaches it
     Then the new entry has served no request with an older configuration
     And nothing went back to an older state and every change was in force in time
 
   Scenario: A new entry does not use a removed target that the backup contains
     When the registration of a target is removed
-    And the store is restored to before that, and an entry starts before the lost keys are written again
+    And the store is restored to the state before that, and an entry starts before the lost keys are written again
     Then it sends nothing to the target that has left
     And nothing went back to an older state and every change was in force in time
 
@@ -110,28 +110,28 @@
 
   Scenario: A target that left and was removed is not used again because the backup contains it
     When a target leaves and its registration is removed
-    And the store is restored to before that after 300 ms, and the lost keys are written again 1500 ms later
+    And the store is restored to the state before that after 300 ms, and the lost keys are written again 1500 ms later
     And the entries run for 5000 ms
     Then nothing went back to an older state and every change was in force in time
 
   Scenario: A target that was removed without notice is not used again because the backup contains it
     When the registration of a target is removed
-    And the store is restored to before that after 300 ms, and the lost keys are written again 3000 ms later
+    And the store is restored to the state before that after 300 ms, and the lost keys are written again 3000 ms later
     And the entries run for 5000 ms
     Then nothing went back to an older state and every change was in force in time
 
   Scenario: Two restores in a row
     When the operator changes the configuration, a target registers and another leaves
-    And the store is restored to before that after 300 ms, and the lost keys are written again 400 ms later
+    And the store is restored to the state before that after 300 ms, and the lost keys are written again 400 ms later
     And the operator changes the configuration, a target registers and another leaves
-    And the store is restored to before that after 0 ms, and the lost keys are written again 400 ms later
+    And the store is restored to the state before that after 0 ms, and the lost keys are written again 400 ms later
     And the entries run for 5000 ms
     Then nothing went back to an older state and every change was in force in time
 
   # Guards against a registration that is written only once: its loss is noticed after 200 s, or never if another process got its lease id.
   Scenario: Entries that the backup lacks register again, spread over time
     When 6 more entries start
-    And the store is restored to before that after 300 ms, and the lost keys are written again 500 ms later
+    And the store is restored to the state before that after 300 ms, and the lost keys are written again 500 ms later
     And the entries run for 3000 ms
     Then every entry is registered
     And no more than 10 writes have reached the store within 200 ms
--- a/features/steps/restored-store-steps.ts
+++ b/features/steps/restored-store-steps.ts
@@ -112,7 +112,7 @@
 	simulation.writeConfiguration(this.notes.get('lost version') as number);
 });
 
-const restoreAndRewrite = 'the store is restored to before that after {int} ms, and the lost keys are written again {int} ms later';
+const restoreAndRewrite = 'the store is restored to the state before that after {int} ms, and the lost keys are written again {int} ms later';
 
 When(restoreAndRewrite, {timeout: longScenarioMs}, async function (this: SystemWorld, outageMs: number, rewriteMs: number) {
 	const simulation = getSimulation(this);
@@ -133,7 +133,7 @@
 	assert.deepEqual(getSimulation(this).violations, []);
 });
 
-When('the store is restored to before that, and an entry starts before the lost keys are written again', async function (this: SystemWorld) {
+When('the store is restored to the state before that, and an entry starts before the lost keys are written again', async function (this: SystemWorld) {
 	const simulation = getSimulation(this);
 	simulation.at(600, () => {
 		simulation.start('late');
@@ -141,7 +141,7 @@
 	await simulation.restoreFromBackup({outageMs: 300, rewriteDelayMs: 1500});
 });
 
-When('the store is restored to before that, and only a new entry reaches it', async function (this: SystemWorld) {
+When('the store is restored to the state before that, and only a new entry reaches it', async function (this: SystemWorld) {
 	const simulation = getSimulation(this);
 	for (const id of simulation.entries.keys()) {
 		simulation.withoutStore.add(id);
--- a/src/fleet/target-directory.ts
+++ b/src/fleet/target-directory.ts
@@ -57,9 +57,9 @@
 			this.records.set(target.id, {target: isOutdated ? known.target : target, missingSince: undefined, isGone});
 		}
 
-		for (const [id, entry] of this.records) {
+		for (const [id, record] of this.records) {
 			if (!registered.has(id)) {
-				entry.missingSince ??= isStoreRecovering ? now : Number.NEGATIVE_INFINITY;
+				record.missingSince ??= isStoreRecovering ? now : Number.NEGATIVE_INFINITY;
 			}
 		}
 
@@ -68,9 +68,9 @@
 
 	/** Marks an incarnation of a target as gone, regardless of its registration. */
 	markGone({id, bornAt}: Target): void {
-		const entry = this.records.get(id);
-		if (entry && entry.target.bornAt === bornAt) {
-			entry.isGone = true;
+		const record = this.records.get(id);
+		if (record && record.target.bornAt === bornAt) {
+			record.isGone = true;
 			this.updateIndex();
 		}
 	}
