--- a/features/support/election-cluster.ts
+++ b/features/support/election-cluster.ts
@@ -4,7 +4,7 @@
 import {xoroshiro128plus} from 'pure-rand/generator/xoroshiro128plus';
 import {PlannerElection} from '../../src/expert-balance/planner-election.js';
 import {StoreView} from '../../src/view/store-view.js';
-import {unguarded} from '../../src/view/unguarded.js';
+import {unorderedItems} from '../../src/view/unordered-items.js';
 import {MemoryStore} from '../../stand-ins/forward/memory-store.js';
 
 type Candidate = {readonly id: string; readonly view: StoreView; readonly election: PlannerElection; term: number | undefined; isSuspended: boolean};
@@ -92,7 +92,7 @@
 		for (const {view, election, isSuspended} of this.candidates) {
 			if (!isSuspended) {
 				view.tick(this.now);
-				void election.tick(this.now, view.isKnown ? {era: view.asOf.era, holder: view.get(plannerKey), stored: view.getStored(plannerKey)} : undefined, false);
+				void election.tick(this.now, view.isLoaded ? {era: view.asOf.era, holder: view.get(plannerKey), stored: view.getStored(plannerKey)} : undefined, false);
 			}
 		}
 	}
@@ -116,9 +116,9 @@
 		const view = new StoreView({
 			feed: store,
 			prefix: plannerKey,
-			guard: unguarded,
+			comparator: unorderedItems,
 			waitMs,
-			longestPauseMs,
+			maximumBackoffMs: longestPauseMs,
 			clock: () => this.now,
 			random: this.random,
 			delay: async ms => new Promise(resolve => {
--- a/features/support/open-store-entry.ts
+++ b/features/support/make-simulated-entry.ts
@@ -4,13 +4,13 @@
 import {type Registry} from '../../src/key-value/registry.js';
 import {type LinkConnection} from '../../src/link/link-connection.js';
 import {plainSource} from '../../stand-ins/forward/plain-source.js';
-import {type StoreEntry} from './store-entry.js';
+import {type SimulatedEntry} from './simulated-entry.js';
 
-type Surroundings = {
+type EntryOptions = {
 	readonly id: string;
 	readonly address: string;
 	readonly availabilityZone: string;
-	/** The store as this entry reaches it. */
+	/** The store, with the delays and losses of this entry's calls. */
 	readonly store: ChangeFeed & Registry;
 	readonly connect: (peer: string) => Promise<LinkConnection>;
 	readonly clock: () => number;
@@ -18,8 +18,8 @@
 	readonly log: (line: string) => void;
 };
 
-/** Puts an entry together as a process does, but for callers and sockets. */
-export function openStoreEntry({id, address, availabilityZone, store, connect, clock, random, log}: Surroundings): StoreEntry {
+/** Wires an entry as a process does, without callers and sockets. */
+export function makeSimulatedEntry({id, address, availabilityZone, store, connect, clock, random, log}: EntryOptions): SimulatedEntry {
 	const path = makeForwardPath({
 		availabilityZone,
 		repeats: {ratio: 0.2, slack: 90, windowMs: 10_000},
--- a/src/mesh/entry-mesh.ts
+++ b/src/mesh/entry-mesh.ts
@@ -151,7 +151,7 @@
 
 			case 'view-offered': {
 				this.hasPeerSnapshot = true;
-				if (this.options.view.takeSnapshot(message.view)) {
+				if (this.options.view.mergeSnapshot(message.view)) {
 					const {era, number} = message.view.asOf;
 					this.options.log(`using a peer's view of era ${era} revision ${number}`);
 				}
@@ -223,7 +223,7 @@
 		const {view, getConfigurationVersion} = this.options;
 		// While the store is reachable, changes usually arrive sooner from it than from a peer.
 		if (isLater(viewRevision, view.asOf)) {
-			const isStale = view.isCutOff || !view.isKnown || view.getAge(now) > viewAgeMs + heartbeatMs;
+			const isStale = view.isStoreUnavailable || !view.isLoaded || view.getAge(now) > viewAgeMs + heartbeatMs;
 			return isStale ? view.asOf : undefined;
 		}
 
--- a/src/once/make-claim-guard.ts
+++ b/src/once/make-claim-guard.ts
@@ -10,12 +10,13 @@
 	readonly store: ClaimStore;
 	/** Key of the claim in the key-value service. */
 	readonly key: string;
-	/** Id of the request that wants the key. */
+	/** Id of the request that claims the key. */
 	readonly owner: string;
 	readonly bodyHash: string;
 	readonly clock: () => number;
 };
 
+/** Retry-After of the answer while claims cannot be written, milliseconds. */
 const retryAfterMs = 1000;
 
 const makeReuseProblem = (): Problem => new Problem({
@@ -36,18 +37,18 @@
 });
 
 /**
- * Guards a request by a claim on its key in the key-value service. The claim names one target process; whoever
- * finds it there asks that process, which alone knows whether the owner came.
+ * Guards a request by a claim on its idempotency key in the key-value service. The claim names one target process. A request that finds
+ * another owner's claim joins at that process, which alone knows whether the owner's request has reached it.
  */
 export function makeClaimGuard(options: GuardOptions): RunGuard {
-	let mine: HeldClaim | undefined;
-	let theirs: HeldClaim | undefined;
+	let ownClaim: HeldClaim | undefined;
+	let otherClaim: HeldClaim | undefined;
 	let revision = 0;
 
-	const judge = (held: HeldClaim): Result<RunPermit, Problem> => {
+	const toPermit = (held: HeldClaim): Result<RunPermit, Problem> => {
 		const {claim} = held;
 		if (claim.owner === options.owner) {
-			mine = held;
+			ownClaim = held;
 			revision = held.revision;
 			return ok({
 				kind: 'run',
@@ -61,8 +62,8 @@
 			return err(makeReuseProblem());
 		}
 
-		mine = undefined;
-		theirs = held;
+		ownClaim = undefined;
+		otherClaim = held;
 		return ok({
 			kind: 'join', target: claim.target, incarnation: claim.incarnation, key: options.key, owner: claim.owner,
 		});
@@ -76,21 +77,21 @@
 				owner: options.owner, bodyHash: options.bodyHash, target: link.vm.id, incarnation: link.incarnation!,
 			};
 			const held = await options.store.put(options.key, claim, revision, options.clock());
-			return held.isErr() ? err(makePlatformProblem(held.error.message)) : judge(held.value);
+			return held.isErr() ? err(makePlatformProblem(held.error.message)) : toPermit(held.value);
 		},
-		adopt() {
-			revision = theirs!.revision;
+		takeOver() {
+			revision = otherClaim!.revision;
 		},
-		doubt() {
-			mine = undefined;
+		noteOwnershipRefused() {
+			ownClaim = undefined;
 			revision = 0;
 		},
 		async abandon() {
-			if (!mine) {
+			if (!ownClaim) {
 				return 'unknown';
 			}
 
-			return await options.store.release(options.key, mine.revision) ? 'unused' : 'unknown';
+			return await options.store.release(options.key, ownClaim.revision) ? 'unused' : 'unknown';
 		},
 	};
 }
--- a/src/view/removed-items.ts
+++ b/src/view/removed-items.ts
@@ -1,64 +1,63 @@
-import {type ItemGuard} from './item-guard.js';
+import {type ItemComparator} from './item-comparator.js';
 import {type StoredItem} from './stored-item.js';
 import {type ViewSnapshot} from './view-snapshot.js';
 
 type Removed = {readonly item: StoredItem; readonly at: number};
 
-/** What was removed is remembered for so long, milliseconds: a copy from which the store comes back may hold it again. */
-const memoryMs = 60_000;
+/** How long a removal is remembered, milliseconds: a store restored from a backup may hold the item again. */
+const retentionMs = 60_000;
 
-/** Items that were removed lately, as they were last known. */
+/** Recently removed items, with their last known values. */
 export class RemovedItems {
 	private readonly entries = new Map<string, Removed>();
 
-	constructor(private readonly guard: ItemGuard) {}
+	constructor(private readonly comparator: ItemComparator) {}
 
 	get(key: string): Removed | undefined {
 		return this.entries.get(key);
 	}
 
-	/** Notes that an item has been removed. */
+	/** Records the removal of an item; `now` in milliseconds. */
 	note(item: StoredItem, now: number): void {
 		this.entries.set(item.key, {item, at: now});
 	}
 
-	/** Whether an item stands for what is known to have been removed. */
-	hasEnded(item: StoredItem): boolean {
-		const ended = this.entries.get(item.key)?.item;
-		return ended !== undefined && this.guard.isSame(ended, item);
+	/** Whether an item describes something that is known to have been removed. */
+	hasRemoved(item: StoredItem): boolean {
+		const removed = this.entries.get(item.key)?.item;
+		return removed !== undefined && this.comparator.isSameIncarnation(removed, item);
 	}
 
-	/** All of them. */
 	values(): Iterable<Removed> {
 		return this.entries.values();
 	}
 
-	/** Those that would not be believed if a copy of the store held them again, as a peer may take them over. */
+	/** Removals that the comparator recognises if a restored store holds the items again, in the form sent to peers. */
 	list(now: number): NonNullable<ViewSnapshot['removed']> {
-		return [...this.entries.values()].filter(({item}) => this.guard.isSame(item, item)).map(({item, at}) => ({item, agoMs: now - at}));
+		return [...this.entries.values()].filter(({item}) => this.comparator.isSameIncarnation(item, item)).map(({item, at}) => ({item, agoMs: now - at}));
 	}
 
 	/**
-	 * Takes over what a peer knows to have been removed.
+	 * Adds the removals that a peer knows.
 	 *
-	 * @param stored - what the store holds, as far as this process knows: what was written after a removal is not removed
-	 * @returns what was not known
+	 * @param stored - the store's items as this process knows them; a removal older than a key's last write is ignored
+	 * @returns the removals that were new
 	 */
 	merge(offered: ViewSnapshot['removed'], stored: ReadonlyMap<string, StoredItem>, now: number): readonly Removed[] {
-		const unknown = (offered ?? [])
+		const added = (offered ?? [])
 			.filter(({item: {key, revision}}) => !this.entries.has(key) && (stored.get(key)?.revision ?? 0) <= revision)
 			.map(({item, agoMs}) => ({item, at: now - agoMs}));
-		for (const removed of unknown) {
+		for (const removed of added) {
 			this.entries.set(removed.item.key, removed);
 		}
 
-		return unknown;
+		return added;
 	}
 
-	/** Forgets what is old. */
+	/** Deletes removals older than the retention period. */
 	prune(now: number): void {
 		for (const [key, {at}] of this.entries) {
-			if (now - at > memoryMs) {
+			if (now - at > retentionMs) {
 				this.entries.delete(key);
 			}
 		}
--- a/src/view/retained-items.ts
+++ b/src/view/retained-items.ts
@@ -1,7 +1,7 @@
 import {type RemovedKey} from '../key-value/removed-key.js';
 import {type StoredValue} from '../key-value/stored-value.js';
-import {type ItemGuard} from './item-guard.js';
-import {rewriteMs} from './rewrite-ms.js';
+import {type ItemComparator} from './item-comparator.js';
+import {rewriteWindowMs} from './rewrite-window-ms.js';
 import {type RemovedItems} from './removed-items.js';
 import {type StoredItem} from './stored-item.js';
 import {type ViewSnapshot} from './view-snapshot.js';
@@ -9,30 +9,30 @@
 type Items = ReadonlyMap<string, StoredItem>;
 
 type Retained = {
-	/** What counts instead of what the store holds; undefined where the key counts as removed. */
+	/** The value that overrides the stored one; undefined if the key is treated as removed. */
 	readonly item: StoredItem | undefined;
-	/** When what the store holds counts after all, milliseconds; infinite where only something newer ends it. */
+	/** When the override expires, milliseconds; infinite if it holds until a newer value is written. */
 	readonly until: number;
 };
 
-type Restoration = {
-	/** What counted before, what the store holds now, and what was removed lately. */
+type Rollback = {
+	/** The items in effect before the rollback, those that the store holds now, and recent removals. */
 	readonly before: Items;
 	readonly stored: Items;
 	readonly removed: RemovedItems;
 };
 
-/** A registration that nobody renews has lapsed after this time, milliseconds; one that a copy holds again is not believed before. */
-const lapseMs = 10_000;
+/** Time within which a registration that is not renewed expires, milliseconds. A removed one that a backup holds again is ignored this long. */
+const registrationExpiryMs = 10_000;
 
 /**
- * Keys on which a process goes on with what it knew against what the store holds, since the store has come back from an older copy, or
- * holds something that was replaced already.
+ * Values that this process uses instead of the store's, because the store was restored from an older backup or holds a value that was
+ * already replaced.
  */
 export class RetainedItems {
 	private readonly entries = new Map<string, Retained>();
 
-	constructor(private readonly guard: ItemGuard) {}
+	constructor(private readonly comparator: ItemComparator) {}
 
 	get size(): number {
 		return this.entries.size;
@@ -42,13 +42,13 @@
 		return this.entries.get(key);
 	}
 
-	/** Keeps an item until something newer is written. */
-	keep(item: StoredItem): void {
+	/** Retains an item until a newer one is written. */
+	retain(item: StoredItem): void {
 		this.entries.set(item.key, {item, until: Number.POSITIVE_INFINITY});
 	}
 
-	/** What counts, by key. */
-	merge(stored: Items): Items {
+	/** The store's items with the retained ones laid over them, by key. */
+	overlay(stored: Items): Items {
 		const merged = new Map(stored);
 		for (const [key, {item}] of this.entries) {
 			if (item) {
@@ -61,38 +61,38 @@
 		return merged;
 	}
 
-	/** Decides anew what is kept, since the store has come back from a copy. */
-	restore({before, stored, removed}: Restoration, now: number): void {
+	/** Rebuilds the retained set after the store was restored from a backup; `now` in milliseconds. */
+	rebuild({before, stored, removed}: Rollback, now: number): void {
 		this.entries.clear();
 		for (const known of before.values()) {
-			const until = this.decideEnd(known, stored.get(known.key), now);
+			const until = this.findRetentionEnd(known, stored.get(known.key), now);
 			if (until !== undefined) {
 				this.entries.set(known.key, {item: known, until});
 			}
 		}
 
-		this.end(removed.values());
+		this.releaseRemoved(removed.values());
 
 		for (const [key, offered] of stored) {
-			const ended = before.has(key) ? undefined : removed.get(key)?.item;
-			const isOfCopy = ended !== undefined && offered.revision <= ended.revision;
-			if (isOfCopy && this.guard.isSame(ended, offered)) {
-				this.entries.set(key, {item: undefined, until: now + lapseMs});
+			const removedItem = before.has(key) ? undefined : removed.get(key)?.item;
+			const isFromBackup = removedItem !== undefined && offered.revision <= removedItem.revision;
+			if (isFromBackup && this.comparator.isSameIncarnation(removedItem, offered)) {
+				this.entries.set(key, {item: undefined, until: now + registrationExpiryMs});
 			}
 		}
 	}
 
-	/** Takes a change that the store tells, or finds when it is read again; `known` is what counted until now. */
-	take(change: StoredValue | RemovedKey, known: StoredItem | undefined): void {
-		const isOlder = known !== undefined && !('isRemoved' in change) && this.guard.isOlder(known, change) === true;
+	/** Applies a change received from the store, or found by reading it again; `known` is the item in effect until now. */
+	applyChange(change: StoredValue | RemovedKey, known: StoredItem | undefined): void {
+		const isOlder = known !== undefined && !('isRemoved' in change) && this.comparator.isOlder(known, change) === true;
 		if (isOlder) {
-			this.keep(known);
+			this.retain(known);
 		} else {
 			this.entries.delete(change.key);
 		}
 	}
 
-	/** Ends what was kept for long enough; gives the items that no longer count. */
+	/** Drops expired overrides; `dropped` are their items. */
 	expire(now: number): {readonly hasChanged: boolean; readonly dropped: readonly StoredItem[]} {
 		const due = [...this.entries].filter(([, {until}]) => until <= now);
 		for (const [key] of due) {
@@ -103,25 +103,25 @@
 	}
 
 	/**
-	 * Keeps no longer what is known to have been removed after it was written.
+	 * Drops retained items that are known to have been removed after they were written.
 	 *
-	 * @returns whether anything was kept
+	 * @returns whether any was dropped
 	 */
-	end(removed: Iterable<{readonly item: StoredItem}>): boolean {
-		let hasEnded = false;
-		for (const {item: ended} of removed) {
-			const known = this.entries.get(ended.key)?.item;
-			const isLaterOne = known !== undefined && (known.era > ended.era || (known.era === ended.era && known.revision > ended.revision));
-			if (known && !isLaterOne && this.guard.isSame(ended, known)) {
-				this.entries.delete(ended.key);
-				hasEnded = true;
+	releaseRemoved(removed: Iterable<{readonly item: StoredItem}>): boolean {
+		let hasReleased = false;
+		for (const {item: removedItem} of removed) {
+			const known = this.entries.get(removedItem.key)?.item;
+			const isNewer = known !== undefined && (known.era > removedItem.era || (known.era === removedItem.era && known.revision > removedItem.revision));
+			if (known && !isNewer && this.comparator.isSameIncarnation(removedItem, known)) {
+				this.entries.delete(removedItem.key);
+				hasReleased = true;
 			}
 		}
 
-		return hasEnded;
+		return hasReleased;
 	}
 
-	/** What is kept, as a peer may take it over. */
+	/** The retained items in the form sent to peers. */
 	list(stored: Items, now: number): NonNullable<ViewSnapshot['retained']> {
 		return [...this.entries].map(([key, {item, until}]) => ({
 			key,
@@ -132,31 +132,31 @@
 	}
 
 	/**
-	 * Takes over what a peer keeps against the same answers of the store, unless they are known to have changed.
+	 * Adds a peer's retained items where this process knows the same stored revision of the key.
 	 *
-	 * @returns whether anything was taken over
+	 * @returns whether any was added
 	 */
-	adopt(offered: NonNullable<ViewSnapshot['retained']>, stored: Items, now: number): boolean {
-		const open = offered.filter(({key, storedRevision}) => !this.entries.has(key) && stored.get(key)?.revision === storedRevision);
-		for (const {key, item, leftMs} of open) {
+	mergeFromPeer(offered: NonNullable<ViewSnapshot['retained']>, stored: Items, now: number): boolean {
+		const unchanged = offered.filter(({key, storedRevision}) => !this.entries.has(key) && stored.get(key)?.revision === storedRevision);
+		for (const {key, item, leftMs} of unchanged) {
 			this.entries.set(key, {item, until: now + (leftMs ?? Number.POSITIVE_INFINITY)});
 		}
 
-		return open.length > 0;
+		return unchanged.length > 0;
 	}
 
-	private decideEnd(known: StoredItem, offered: StoredItem | undefined, now: number): number | undefined {
-		const isOlder = this.guard.isOlder(known, offered);
+	private findRetentionEnd(known: StoredItem, offered: StoredItem | undefined, now: number): number | undefined {
+		const isOlder = this.comparator.isOlder(known, offered);
 		if (isOlder === true) {
 			return Number.POSITIVE_INFINITY;
 		}
 
 		if (offered === undefined) {
-			return now + rewriteMs;
+			return now + rewriteWindowMs;
 		}
 
-		// Where the items do not tell, the lower number is from before, as a rule; what is written in the new era soon has a higher one.
+		// If the contents do not show which is older, a lower revision usually means an older write: writes of the new era soon have higher ones.
 		const isLikelyOlder = isOlder === undefined && offered.value !== known.value && offered.revision < known.revision;
-		return isLikelyOlder ? now + rewriteMs : undefined;
+		return isLikelyOlder ? now + rewriteWindowMs : undefined;
 	}
 }
--- /dev/null
+++ b/src/view/rewrite-window-ms.ts
@@ -0,0 +1,2 @@
+/** Time within which writers write again what a restored store lacks, milliseconds. */
+export const rewriteWindowMs = 2000;
--- a/src/view/store-view.ts
+++ b/src/view/store-view.ts
@@ -3,9 +3,9 @@
 import {type RemovedKey} from '../key-value/removed-key.js';
 import {type Revision} from '../key-value/revision.js';
 import {type StoredValue} from '../key-value/stored-value.js';
-import {type ItemGuard} from './item-guard.js';
+import {type ItemComparator} from './item-comparator.js';
 import {describeRetained} from './describe-retained.js';
-import {StoreContact} from './store-contact.js';
+import {StoreAvailability} from './store-availability.js';
 import {type StoredItem} from './stored-item.js';
 import {ViewItems} from './view-items.js';
 import {type ViewSnapshot} from './view-snapshot.js';
@@ -13,59 +13,59 @@
 type ViewOptions = {
 	readonly feed: ChangeFeed;
 	readonly prefix: string;
-	/** Which of two items is to be believed, whoever names them. */
-	readonly guard: ItemGuard;
-	/** Longest wait of one call for changes, milliseconds: a process cut off and back notices within it. */
+	/** Decides which of two items is more recent, whether they come from the store or a peer. */
+	readonly comparator: ItemComparator;
+	/** Longest wait of one call for changes, milliseconds. A process that reconnects after a partition notices within it. */
 	readonly waitMs: number;
 	/**
-	 * Longest time from a failed call to the next, milliseconds, half of it more or less by chance. Calls that are refused
-	 * at once are spaced by it; one that was only given up on is followed by the next without a pause.
+	 * Maximum backoff between failed calls, milliseconds, with a jitter of half of it in either direction. It runs from the start of
+	 * the failed call: calls that are refused at once are spaced by it, one that timed out is followed by the next almost at once.
 	 */
-	readonly longestPauseMs: number;
+	readonly maximumBackoffMs: number;
 	readonly clock: () => number;
 	readonly random: () => number;
-	/** Waits; scenarios pass their own. */
+	/** Waits for `ms` milliseconds; tests pass their own. */
 	readonly delay: (ms: number) => Promise<void>;
 	readonly log: (message: string) => void;
-	/** Called after something changed, with the present. */
+	/** Called after a change, with the present time, milliseconds. */
 	readonly onChange: (now: number) => void;
 };
 
-/** What a call came to: no answer, one that brought the view on or waited in vain, or one that changed nothing. */
-type Turn = 'failed' | 'moved' | 'idle';
+/** Result of a call: it failed, confirmed the view as up to date (with or without changes), or was of no use to it. */
+type CallResult = 'failed' | 'updated' | 'unused';
 
 /**
- * Changes come in bursts: after some, the next are gathered for this time, milliseconds, into one answer. Each answer is
- * a call at every entry, and two seconds are allowed for a change to be in force.
+ * Pause after an answer with changes, milliseconds, so that a burst of changes arrives in few answers: each answer is one call by every
+ * entry. A change must be in force within two seconds.
  */
-const gatherMs = 300;
-/** Pause after the first call that failed or brought nothing, milliseconds; it doubles with each one more. */
-const firstPauseMs = 50;
-/** Wait of a call for changes while the store does not answer, milliseconds: its return shows as soon. */
-const lostWaitMs = 300;
+const batchingMs = 300;
+/** Initial backoff after a failed or unused call, milliseconds; it doubles with each further one. */
+const initialBackoffMs = 50;
+/** Wait of a call for changes while the store does not answer, milliseconds, so that its recovery is noticed as soon. */
+const unavailableWaitMs = 300;
 const describe = ({era, number}: Revision): string => `era ${era} revision ${number}`;
 const toItems = (items: readonly StoredValue[], era: number): StoredItem[] => items.map(item => ({...item, era}));
 
 /**
- * What this process knows of the store's keys under one prefix. Kept by waiting calls; while the store cannot be reached, by what peers
- * that reach it have. It goes forward in eras, and in revisions within an era; in a new era it starts from the store's list, and what
- * the copy lacks or has older counts on until it is written again.
+ * This process's replica of the store's keys under one prefix. It is updated by long polls, and by the snapshots of peers while the store
+ * cannot be reached. It moves forward in eras, and in revisions within an era. In a new era it starts from a full read of the store, and
+ * retains values that the restored store lacks or has in an older version until they are written again.
  */
 export class StoreView {
 	private readonly items: ViewItems;
-	private readonly contact: StoreContact;
+	private readonly availability: StoreAvailability;
 	private revision: Revision = {era: 0, number: 0};
-	private pauseMs = firstPauseMs;
-	private needsList = true;
+	private backoffMs = initialBackoffMs;
+	private needsFullRead = true;
 	private isClosed = false;
-	/** When the store is known to have had nothing newer, by own calls or a peer's, milliseconds. */
-	private currentAt = Number.NEGATIVE_INFINITY;
-	private droppedAnswers = 0;
-	private endWait: (() => void) | undefined;
+	/** When the view was last known to be up to date, by own calls or a peer's, milliseconds. */
+	private upToDateAt = Number.NEGATIVE_INFINITY;
+	private staleAnswers = 0;
+	private abortWait: (() => void) | undefined;
 
 	constructor(private readonly options: ViewOptions) {
-		this.items = new ViewItems(options.guard, options.log);
-		this.contact = new StoreContact(options.log);
+		this.items = new ViewItems(options.comparator, options.log);
+		this.availability = new StoreAvailability(options.log);
 	}
 
 	/** Revision of the store that the view is known to include. */
@@ -73,46 +73,46 @@
 		return this.revision;
 	}
 
-	/** Answers that were not taken over, since they were from before what is known. */
-	get dropped(): number {
-		return this.droppedAnswers;
+	/** Number of answers that were ignored because they were older than the view. */
+	get droppedAnswers(): number {
+		return this.staleAnswers;
 	}
 
-	/** Keys on which the view goes on with what it knew against what the store holds. */
+	/** Number of keys whose retained value overrides the store's. */
 	get retainedKeys(): number {
 		return this.items.retainedKeys;
 	}
 
-	/** Whether anything is known yet. */
-	get isKnown(): boolean {
+	/** Whether the view has been filled, by the store or a peer. */
+	get isLoaded(): boolean {
 		return this.revision.number > 0;
 	}
 
 	/** Whether the last own call to the store failed. */
-	get isCutOff(): boolean {
-		return this.contact.isLost;
+	get isStoreUnavailable(): boolean {
+		return this.availability.isUnavailable;
 	}
 
-	/** Milliseconds since the view was last known to be current. */
+	/** Time since the view was last known to be up to date, milliseconds. */
 	getAge(now: number): number {
-		return now - this.currentAt;
+		return now - this.upToDateAt;
 	}
 
-	/** Whether the store has come back so recently that lapsed keys may still return. */
-	isReturning(now: number): boolean {
-		return this.contact.isReturning(now);
+	/** Whether the store recovered so recently that expired keys may still be written again. */
+	isRecovering(now: number): boolean {
+		return this.availability.isRecovering(now);
 	}
 
 	get(key: string): StoredItem | undefined {
 		return this.items.get(key);
 	}
 
-	/** What the store itself holds under a key, which conditions of writes are about. */
+	/** The store's own item for a key, ignoring retained ones; conditional writes refer to it. */
 	getStored(key: string): StoredItem | undefined {
 		return this.items.getStored(key);
 	}
 
-	/** Items whose keys start with `prefix`, the one written last at the end. */
+	/** Items whose keys start with `prefix`, in order of writing. */
 	list(prefix: string): StoredItem[] {
 		return this.items.list(prefix);
 	}
@@ -122,15 +122,15 @@
 		while (!this.isClosed) {
 			const startedAt = this.options.clock();
 			const before = this.revision;
-			const turn = await this.turn();
-			if (turn === 'moved') {
-				this.pauseMs = firstPauseMs;
+			const result = await this.callStore();
+			if (result === 'updated') {
+				this.backoffMs = initialBackoffMs;
 			}
 
 			if (isLater(this.revision, before)) {
-				await this.options.delay(gatherMs);
-			} else if (turn !== 'moved') {
-				await this.pause(turn, this.options.clock() - startedAt);
+				await this.options.delay(batchingMs);
+			} else if (result !== 'updated') {
+				await this.backOff(result, this.options.clock() - startedAt);
 			}
 		}
 	}
@@ -139,40 +139,40 @@
 		this.isClosed = true;
 	}
 
-	/** Ends what was kept for long enough although the store does not hold it. */
+	/** Drops retained items whose time is over; `now` in milliseconds. */
 	tick(now: number): void {
 		if (this.items.expire(now)) {
 			this.options.onChange(now);
 		}
 	}
 
-	/** Learns that the store is in an era, from whoever has heard it: a wait in a former one may never be answered. */
+	/** Records an era of the store reported by a peer. A new one aborts the current long poll, which the restored store may never answer. */
 	noteEra(era: number): void {
-		if (this.isKnown && era > this.revision.era && !this.needsList) {
-			this.needsList = true;
-			this.endWait?.();
+		if (this.isLoaded && era > this.revision.era && !this.needsFullRead) {
+			this.needsFullRead = true;
+			this.abortWait?.();
 		}
 	}
 
-	/** The view as a peer may take it over. */
+	/** The view in the form sent to peers. */
 	getSnapshot(now: number): ViewSnapshot {
 		return {asOf: this.revision, ageMs: this.getAge(now), ...this.items.getSnapshot(now)};
 	}
 
-	/** Takes over what a peer's view knows more than this one: all of it if it is newer, or single items that are. */
-	takeSnapshot(snapshot: ViewSnapshot): boolean {
+	/** Merges a peer's view: all of it if it is newer, and single items that are newer. Returns whether anything changed. */
+	mergeSnapshot(snapshot: ViewSnapshot): boolean {
 		const now = this.options.clock();
-		const hasEnded = this.items.mergeRemoved(snapshot, now);
+		const hasReleased = this.items.mergeRemoved(snapshot, now);
 		const isNewer = isLater(snapshot.asOf, this.revision);
 		if (isNewer) {
 			this.replace(toItems(snapshot.items, snapshot.asOf.era), snapshot.asOf, now);
-			this.needsList = false;
-			this.currentAt = Math.max(this.currentAt, now - snapshot.ageMs);
+			this.needsFullRead = false;
+			this.upToDateAt = Math.max(this.upToDateAt, now - snapshot.ageMs);
 		}
 
-		const hasAdopted = snapshot.asOf.era === this.revision.era && this.items.adoptRetained(snapshot, now);
-		const hasKept = this.items.keepNewer(snapshot);
-		const hasChanged = hasEnded || isNewer || hasAdopted || hasKept;
+		const hasAdded = snapshot.asOf.era === this.revision.era && this.items.mergeRetained(snapshot, now);
+		const hasRetained = this.items.retainNewer(snapshot);
+		const hasChanged = hasReleased || isNewer || hasAdded || hasRetained;
 		if (hasChanged) {
 			this.options.onChange(now);
 		}
@@ -180,20 +180,20 @@
 		return hasChanged;
 	}
 
-	/** One reading or wait. */
-	private async turn(): Promise<Turn> {
-		return this.needsList ? this.readAll() : this.readChanges();
+	/** Reads all keys or waits for changes. */
+	private async callStore(): Promise<CallResult> {
+		return this.needsFullRead ? this.readAll() : this.readChanges();
 	}
 
-	private async pause(turn: Turn, tookMs: number): Promise<void> {
-		const pauseMs = this.pauseMs * (0.5 + this.options.random());
-		await this.options.delay(Math.max(firstPauseMs * (turn === 'idle' ? this.options.random() : 1), pauseMs - tookMs));
-		this.pauseMs = Math.min(this.options.longestPauseMs, this.pauseMs * 2);
+	private async backOff(result: CallResult, tookMs: number): Promise<void> {
+		const backoffMs = this.backoffMs * (0.5 + this.options.random());
+		await this.options.delay(Math.max(initialBackoffMs * (result === 'unused' ? this.options.random() : 1), backoffMs - tookMs));
+		this.backoffMs = Math.min(this.options.maximumBackoffMs, this.backoffMs * 2);
 	}
 
-	private async readAll(): Promise<Turn> {
+	private async readAll(): Promise<CallResult> {
 		const {feed, prefix, clock} = this.options;
-		const asked = this.revision;
+		const requested = this.revision;
 		const answer = await feed.list(prefix);
 		const now = clock();
 		if (answer.isErr()) {
@@ -201,35 +201,35 @@
 			return 'failed';
 		}
 
-		this.contact.noteAnswer(now);
-		this.needsList = false;
+		this.availability.noteAnswer(now);
+		this.needsFullRead = false;
 		const {era, asOf, items} = answer.value;
 		const listed = {era, number: asOf};
-		// A list that began after a revision was known and does not include it is of a store that has gone back, whatever its era.
-		const hasGoneBack = this.revision === asked && era === asked.era && asOf < asked.number;
-		if (isLater(this.revision, listed) && !hasGoneBack) {
-			this.drop(listed);
-			return 'idle';
+		// A list requested at this revision that does not include it comes from a store that was rolled back, even without a new era.
+		const hasRolledBack = this.revision === requested && era === requested.era && asOf < requested.number;
+		if (isLater(this.revision, listed) && !hasRolledBack) {
+			this.noteStaleAnswer(listed);
+			return 'unused';
 		}
 
 		this.replace(toItems(items, era), listed, now);
-		this.currentAt = now;
+		this.upToDateAt = now;
 		this.options.onChange(now);
-		return 'moved';
+		return 'updated';
 	}
 
-	private async readChanges(): Promise<Turn> {
+	private async readChanges(): Promise<CallResult> {
 		const {feed, prefix, waitMs, clock} = this.options;
-		const asked = this.revision;
-		const ended = new Promise<undefined>(resolve => {
-			this.endWait = () => {
+		const requested = this.revision;
+		const aborted = new Promise<undefined>(resolve => {
+			this.abortWait = () => {
 				resolve(undefined);
 			};
 		});
-		const answer = await Promise.race([feed.poll(prefix, asked.number, this.isCutOff ? Math.min(lostWaitMs, waitMs) : waitMs), ended]);
+		const answer = await Promise.race([feed.poll(prefix, requested.number, this.isStoreUnavailable ? Math.min(unavailableWaitMs, waitMs) : waitMs), aborted]);
 		const now = clock();
 		if (answer === undefined) {
-			return 'idle';
+			return 'unused';
 		}
 
 		if (answer.isErr()) {
@@ -237,35 +237,35 @@
 			return 'failed';
 		}
 
-		this.contact.noteAnswer(now);
+		this.availability.noteAnswer(now);
 		const {kind, era} = answer.value;
 		if (era < this.revision.era) {
-			this.drop({era, number: asked.number});
-			return 'idle';
+			this.noteStaleAnswer({era, number: requested.number});
+			return 'unused';
 		}
 
 		if (kind === 'forgotten' || era !== this.revision.era) {
-			this.options.log(`history after ${describe(this.revision)} is gone, reading all of era ${era}`);
-			this.needsList = true;
-			return 'idle';
+			this.options.log(`change history after ${describe(this.revision)} is not available; reading all keys of era ${era}`);
+			this.needsFullRead = true;
+			return 'unused';
 		}
 
-		// What a peer has brought meanwhile may be of another era than the wait, whose changes then do not follow it.
-		if (asked.era === era) {
+		// A peer's snapshot may have moved the view to another era during the wait; these changes do not continue it then.
+		if (requested.era === era) {
 			this.apply(answer.value.changes, answer.value.asOf, now);
-			this.currentAt = now;
+			this.upToDateAt = now;
 		}
 
-		return 'moved';
+		return 'updated';
 	}
 
 	private replace(items: readonly StoredItem[], asOf: Revision, now: number): void {
-		const isRestored = this.isKnown && (asOf.era !== this.revision.era || asOf.number < this.revision.number);
+		const isRestored = this.isLoaded && (asOf.era !== this.revision.era || asOf.number < this.revision.number);
 		this.items.replace(items, isRestored, now);
 		if (isRestored) {
-			this.contact.noteRestoration(now);
-			const kept = describeRetained(this.items.getSnapshot(now).retained ?? []);
-			this.options.log(`store has come back from a copy: ${describe(asOf)}, this view was of ${describe(this.revision)}${kept}`);
+			this.availability.noteRollback(now);
+			const retained = describeRetained(this.items.getSnapshot(now).retained ?? []);
+			this.options.log(`store was restored from a backup: ${describe(asOf)}, this view was at ${describe(this.revision)}${retained}`);
 		}
 
 		this.revision = asOf;
@@ -282,11 +282,11 @@
 	}
 
 	private noteFailure(message: string, now: number): void {
-		this.contact.noteFailure(`${message}; going on with ${describe(this.revision)}`, now);
+		this.availability.noteFailure(`${message}; continuing with ${describe(this.revision)}`, now);
 	}
 
-	private drop(answer: Revision): void {
-		this.droppedAnswers++;
-		this.options.log(`answer of ${describe(answer)} does not count: this view is of ${describe(this.revision)}`);
+	private noteStaleAnswer(answer: Revision): void {
+		this.staleAnswers++;
+		this.options.log(`ignored an answer of ${describe(answer)}: this view is at ${describe(this.revision)}`);
 	}
 }
