--- a/bench/capacity.ts
+++ b/bench/capacity.ts
@@ -7,7 +7,7 @@
 import {encodeFrame} from '../src/link/encode-frame.js';
 import {type LinkConnection} from '../src/link/link-connection.js';
 import {type LinkMessage} from '../src/link/link-message.js';
-import {listenLink} from '../src/link/listen-link.js';
+import {listenForLinks} from '../src/link/listen-for-links.js';
 import {generateTrace} from '../src/maps/generate-trace.js';
 import {makePolicy} from '../src/maps/make-policy.js';
 import {replayTrace} from '../src/maps/replay-trace.js';
@@ -165,7 +165,7 @@
 			});
 			fillAnswer(execution);
 			records.add(execution);
-			records.end(execution, 0);
+			records.noteEnd(execution, 0);
 		}
 
 		return records;
@@ -194,7 +194,7 @@
 
 /* Both ends of links in this process, after a collection: half of the growth is one end. */
 const measureLinks = async (): Promise<Sample> => {
-	const listener = await listenLink({
+	const listener = await listenForLinks({
 		address: '127.0.0.1', port: 0, key: linkKey, maximumFrameBytes: 1_000_000, meter: () => undefined, onConnection: () => undefined, onRejection: () => undefined,
 	});
 	const links: LinkConnection[] = [];
--- a/features/steps/admission-steps.ts
+++ b/features/steps/admission-steps.ts
@@ -20,7 +20,7 @@
 import {runCommand} from '../support/run-command.js';
 import {type SystemWorld} from '../support/system-world.js';
 
-type Played = {readonly with: readonly LoadResult[]; readonly without: readonly LoadResult[]};
+type Comparison = {readonly with: readonly LoadResult[]; readonly without: readonly LoadResult[]};
 
 const pace = {stepMs: 4.55, requestMs: 1.36, stepsPerEvent: 4};
 const targetGapMs = 120;
@@ -34,11 +34,11 @@
 	return sum / results.length;
 };
 
-const getPlayed = (world: SystemWorld): Played => world.notes.get('played') as Played;
+const getComparison = (world: SystemWorld): Comparison => world.notes.get('played') as Comparison;
 const getForecast = (world: SystemWorld): PauseForecast => world.notes.get('forecast') as PauseForecast;
-const getMost = (world: SystemWorld): number => getForecast(world).getMostLoad(targetGapMs, pace)!;
+const getMaximumLoad = (world: SystemWorld): number => getForecast(world).getMostLoad(targetGapMs, pace)!;
 
-const observe = (world: SystemWorld, gapMs: number, load: number, forMs: number): void => {
+const observePauses = (world: SystemWorld, gapMs: number, load: number, forMs: number): void => {
 	const end = (world.notes.get('now') as number) + forMs;
 	for (let now = world.notes.get('now') as number; now < end; now += gapMs) {
 		getForecast(world).observe({gapMs, load, pace}, now);
@@ -66,35 +66,35 @@
 });
 
 Then('the worth is at least {float} above that without admission', function (this: SystemWorld, gain: number) {
-	const played = getPlayed(this);
+	const played = getComparison(this);
 	const [worth, before] = [mean(played.with, 'worth'), mean(played.without, 'worth')];
 	assert.ok(worth >= before + gain, `${worth} after ${before}`);
 });
 
 Then('nobody is refused twice', function (this: SystemWorld) {
-	assert.equal(mean(getPlayed(this).with, 'refused'), 0);
+	assert.equal(mean(getComparison(this).with, 'refused'), 0);
 });
 
 Given('passes of {int} ms with {int} requests at each target', function (this: SystemWorld, gapMs: number, load: number) {
 	this.notes.set('forecast', new PauseForecast());
 	this.notes.set('now', 0);
 	this.notes.set('load', load);
-	observe(this, gapMs, load, 5000);
-	this.notes.set('most', getMost(this));
+	observePauses(this, gapMs, load, 5000);
+	this.notes.set('most', getMaximumLoad(this));
 });
 
 When('passes of {int} ms follow for {int} ms', function (this: SystemWorld, gapMs: number, forMs: number) {
-	observe(this, gapMs, this.notes.get('load') as number, forMs);
+	observePauses(this, gapMs, this.notes.get('load') as number, forMs);
 });
 
 Then('at least {int} in 100 of the requests before are admitted at each target', function (this: SystemWorld, share: number) {
 	const before = this.notes.get('most') as number;
-	assert.ok(getMost(this) >= before * share / 100, `${getMost(this)} after ${before}`);
+	assert.ok(getMaximumLoad(this) >= before * share / 100, `${getMaximumLoad(this)} after ${before}`);
 });
 
 Then('at most {int} in 100 of the requests before are admitted at each target', function (this: SystemWorld, share: number) {
 	const before = this.notes.get('most') as number;
-	assert.ok(getMost(this) <= before * share / 100, `${getMost(this)} after ${before}`);
+	assert.ok(getMaximumLoad(this) <= before * share / 100, `${getMaximumLoad(this)} after ${before}`);
 });
 
 Then('a forecast without observations admits a stream with {int} under way', (inFlight: number) => {
--- a/features/steps/drain-steps.ts
+++ b/features/steps/drain-steps.ts
@@ -57,7 +57,7 @@
 
 When('every link to targets is cut', function (this: SystemWorld) {
 	for (const entry of this.system.entries.values()) {
-		entry.cutLinks();
+		entry.disconnectTargets();
 	}
 });
 
@@ -99,7 +99,7 @@
 
 Then('all {int} replies have status {int}', function (this: SystemWorld, count: number, status: number) {
 	const replies = this.notes.get('replies') as Reply[];
-	assert.equal(replies.filter(reply => reply.status === status && reply.isWhole).length, count);
+	assert.equal(replies.filter(reply => reply.status === status && reply.isComplete).length, count);
 });
 
 Then('the stopped targets ran nothing after their stop began', function (this: SystemWorld) {
@@ -115,6 +115,6 @@
 
 Then('the reply is visibly broken', async function (this: SystemWorld) {
 	const reply = await this.replies.get('last')!;
-	assert.equal(reply.isWhole, false);
+	assert.equal(reply.isComplete, false);
 	assert.ok(!reply.text.includes('[DONE]'));
 });
--- a/features/steps/not-run-steps.ts
+++ b/features/steps/not-run-steps.ts
@@ -26,7 +26,7 @@
 };
 
 const readCall = async (world: SystemWorld): Promise<{text: string; last: CallEvent}> => {
-	const events = await getPair(world).readAll(world.notes.get('call') as Call);
+	const events = await getPair(world).readEvents(world.notes.get('call') as Call);
 	const text = events.map(event => event.type === 'data' ? new TextDecoder().decode(event.chunk) : '').join('');
 	return {text, last: events.at(-1)!};
 };
@@ -77,36 +77,36 @@
 When('the cancel arrives before the request', function (this: SystemWorld) {
 	const {link} = getPair(this);
 	link.toTarget.reverse();
-	link.release();
+	link.deliverHeld();
 });
 
 When('the request arrives', function (this: SystemWorld) {
 	const {link} = getPair(this);
-	link.deliver(link.toTarget.shift()!);
+	link.deliverToTarget(link.toTarget.shift()!);
 });
 
 When('the link is cut and comes back', async function (this: SystemWorld) {
 	const pair = getPair(this);
-	pair.link.cut();
+	pair.link.disconnect();
 	pair.link.isHolding = false;
 	await waitForLink(pair);
 });
 
 When('the link is cut and stays away for {int} seconds', function (this: SystemWorld, seconds: number) {
 	const pair = getPair(this);
-	pair.link.isAway = true;
-	pair.link.cut();
+	pair.link.isDown = true;
+	pair.link.disconnect();
 	pair.now += seconds * 1000;
 	pair.entry.tick(pair.now);
 });
 
 When('the request arrives after all', function (this: SystemWorld) {
 	const {link} = getPair(this);
-	link.deliver(link.toTarget.shift()!);
+	link.deliverToTarget(link.toTarget.shift()!);
 });
 
 When('a late copy of that request arrives', function (this: SystemWorld) {
-	getPair(this).link.deliver(this.notes.get('request') as LinkMessage);
+	getPair(this).link.deliverToTarget(this.notes.get('request') as LinkMessage);
 });
 
 When('the target process is replaced', async function (this: SystemWorld) {
@@ -116,30 +116,30 @@
 });
 
 When('the engine writes {string} and {string}', function (this: SystemWorld, one: string, other: string) {
-	getPair(this).write([one, other], false);
+	getPair(this).writeAnswer([one, other], false);
 });
 
 When('the engine writes {string} and ends', function (this: SystemWorld, word: string) {
-	getPair(this).writeMore(word, true);
+	getPair(this).continueAnswer(word, true);
 });
 
 When('the engine writes the letters of {string} and ends', function (this: SystemWorld, text: string) {
-	getPair(this).write([...text], true);
+	getPair(this).writeAnswer([...text], true);
 });
 
 When('the parts of the answer arrive shuffled and twice', async function (this: SystemWorld) {
 	const {link} = getPair(this);
 	const parts = link.toEntry.splice(0);
-	link.hand(shuffle([...parts, ...parts], 11));
+	link.deliverToEntry(shuffle([...parts, ...parts], 11));
 	// The gaps make the entry ask again; from here on the link behaves.
-	link.release();
+	link.deliverHeld();
 	await flush();
 });
 
 When('a whole answer to another attempt arrives', function (this: SystemWorld) {
 	const {id} = this.notes.get('request') as MessageOf<'request'>;
 	const part = {id, attempt: 7};
-	getPair(this).link.hand([
+	getPair(this).link.deliverToEntry([
 		{
 			type: 'head', ...part, sequence: 0, status: 200, headers: {}, tableVersion: 0,
 		},
@@ -154,7 +154,7 @@
 	const call = getPair(this).entry.request({
 		type: 'attach', id: `copy-of-${owner}`, attempt: 1, key, owner,
 	});
-	this.notes.set('copy', getPair(this).readAll(call));
+	this.notes.set('copy', getPair(this).readEvents(call));
 });
 
 When('the target is told to stop', function (this: SystemWorld) {
--- a/features/steps/once-steps.ts
+++ b/features/steps/once-steps.ts
@@ -135,8 +135,8 @@
 Then('both callers get the same whole answer', async function (this: SystemWorld) {
 	const first = await this.replies.get('first')!;
 	const second = await this.replies.get('second')!;
-	assert.deepEqual([first.status, first.isWhole], [200, true], first.text);
-	assert.deepEqual([second.status, second.isWhole, second.text], [200, true, first.text]);
+	assert.deepEqual([first.status, first.isComplete], [200, true], first.text);
+	assert.deepEqual([second.status, second.isComplete, second.text], [200, true, first.text]);
 	assert.equal(second.headers['wardswitch-replayed'], 'true');
 });
 
--- a/features/steps/path-steps.ts
+++ b/features/steps/path-steps.ts
@@ -63,13 +63,13 @@
 
 Then('the reply is whole and contains {string}', async function (this: SystemWorld, text: string) {
 	const reply = await this.replies.get('last')!;
-	assert.ok(reply.isWhole);
+	assert.ok(reply.isComplete);
 	assert.ok(reply.text.includes(text), reply.text);
 });
 
 Then('the reply is a whole stream of {int} tokens about {string}', async function (this: SystemWorld, count: number, about: string) {
 	const reply = await this.replies.get('last')!;
-	assert.ok(reply.isWhole);
+	assert.ok(reply.isComplete);
 	const events = reply.text.split('\n\n').filter(Boolean);
 	const words = events.slice(0, -1).map(event => (JSON.parse(event.slice('data: '.length)) as {choices: Array<{delta: {content: string}}>}).choices[0].delta.content);
 	assert.deepEqual(words, Array.from({length: count}, (_, index) => `${about}#${index} `));
--- a/features/steps/process-steps.ts
+++ b/features/steps/process-steps.ts
@@ -10,10 +10,10 @@
 import {findFreePorts} from '../../bench/support/find-free-ports.js';
 import {type SystemWorld} from '../support/system-world.js';
 
-type Run = {readonly code: number; readonly text: string};
+type ProcessResult = {readonly code: number; readonly text: string};
 
 /* Runs a binary until it ends; `meanwhile` may talk to it. */
-const run = async (program: string, words: readonly string[], meanwhile?: (child: ReturnType<typeof spawn>) => Promise<void>): Promise<Run> => {
+const runBinary = async (program: string, words: readonly string[], meanwhile?: (child: ReturnType<typeof spawn>) => Promise<void>): Promise<ProcessResult> => {
 	const child = spawn(process.execPath, [`dist/src/bin/${program}.js`, ...words], {stdio: ['ignore', 'pipe', 'pipe']});
 	let text = '';
 	const collect = (chunk: unknown): void => {
@@ -30,7 +30,7 @@
 };
 
 When('{string} is run with {string}', async function (this: SystemWorld, program: string, words: string) {
-	this.notes.set('run', await run(program, words.split(' ')));
+	this.notes.set('run', await runBinary(program, words.split(' ')));
 });
 
 When('{string} runs and is sent SIGTERM', async function (this: SystemWorld, program: string) {
@@ -38,7 +38,7 @@
 	const file = path.join(mkdtempSync(path.join(tmpdir(), 'wardswitch-process-')), 'target.toml');
 	const example = readFileSync('examples/target.toml', 'utf8');
 	writeFileSync(file, example.replace('linkPort = 7180', `linkPort = ${linkPort}`).replace('adminPort = 9180', `adminPort = ${adminPort}`));
-	this.notes.set('run', await run(program, [file], async child => {
+	this.notes.set('run', await runBinary(program, [file], async child => {
 		for (;;) {
 			try {
 				const answer = await request(`http://127.0.0.1:${adminPort}/readyz`);
@@ -54,7 +54,7 @@
 });
 
 Then('it exits with {int} and says {string}', function (this: SystemWorld, code: number, text: string) {
-	const outcome = this.notes.get('run') as Run;
+	const outcome = this.notes.get('run') as ProcessResult;
 	assert.equal(outcome.code, code, outcome.text);
 	assert.ok(outcome.text.includes(text), outcome.text);
 });
--- a/features/support/link-pair.ts
+++ b/features/support/link-pair.ts
@@ -35,7 +35,7 @@
 				}
 			},
 			answer => {
-				this.controller.loseLink(answer, this.now);
+				this.controller.handleLostLink(answer, this.now);
 			},
 		);
 		this.entry = new TargetLink({
@@ -83,11 +83,11 @@
 	replaceTarget(): void {
 		this.incarnation = 'life-2';
 		this.controller = this.makeController();
-		this.link.cut();
+		this.link.disconnect();
 	}
 
 	/** Lets the engine write parts of an answer, and end it. */
-	write(words: readonly string[], isLast: boolean): void {
+	writeAnswer(words: readonly string[], isLast: boolean): void {
 		const execution = this.running.at(-1)!;
 		execution.addPart({
 			type: 'head', status: 200, headers: {}, tableVersion: 0,
@@ -102,7 +102,7 @@
 	}
 
 	/** Adds a part without a head, for an answer that has begun. */
-	writeMore(word: string, isLast: boolean): void {
+	continueAnswer(word: string, isLast: boolean): void {
 		const execution = this.running.at(-1)!;
 		execution.addPart({type: 'data', chunk: new TextEncoder().encode(word)});
 		if (isLast) {
@@ -111,10 +111,10 @@
 	}
 
 	/** Reads the events of a call until it has ended. */
-	async readAll(call: Call): Promise<CallEvent[]> {
+	async readEvents(call: Call): Promise<CallEvent[]> {
 		const events: CallEvent[] = [];
 		for (;;) {
-			const event = await call.take();
+			const event = await call.nextEvent();
 			events.push(event);
 			if (!['head', 'data'].includes(event.type)) {
 				return events;
@@ -135,7 +135,7 @@
 			resumeMs: 5000,
 			clock: () => this.now,
 			isLeaving: () => this.isLeaving,
-			call: async execution => {
+			runOnEngine: async execution => {
 				this.running.push(execution);
 				await new Promise<void>((resolve, reject) => {
 					execution.abort.signal.addEventListener('abort', () => {
--- a/features/support/memory-link.ts
+++ b/features/support/memory-link.ts
@@ -1,10 +1,10 @@
 import {type LinkConnection} from '../../src/link/link-connection.js';
 import {type LinkMessage} from '../../src/link/link-message.js';
 
-type Ends = {
+type Connection = {
 	readonly close: () => void;
 	readonly answer: (message: LinkMessage) => boolean;
-	readonly deliver: (message: LinkMessage) => void;
+	readonly deliverToEntry: (message: LinkMessage) => void;
 };
 type Receiver = (message: LinkMessage, answer: (message: LinkMessage) => boolean) => void;
 
@@ -18,19 +18,19 @@
 	readonly toEntry: LinkMessage[] = [];
 	isHolding = false;
 	/** While set, nobody can connect. */
-	isAway = false;
+	isDown = false;
 
-	private current: Ends | undefined;
+	private current: Connection | undefined;
 
 	/**
-	 * @param receive - the target's handler of messages
-	 * @param lose - the target's handler of a lost connection
+	 * @param onMessage - the target's handler of messages
+	 * @param onDisconnect - the target's handler of a lost connection
 	 */
-	constructor(public receive: Receiver, public lose: (answer: (message: LinkMessage) => boolean) => void) {}
+	constructor(public onMessage: Receiver, public onDisconnect: (answer: (message: LinkMessage) => boolean) => void) {}
 
 	/** Connects, as `connectLink` does. */
 	readonly connect = async (): Promise<LinkConnection> => {
-		if (this.isAway) {
+		if (this.isDown) {
 			throw new Error('away');
 		}
 
@@ -54,7 +54,7 @@
 		const close = (): void => {
 			if (isOpen) {
 				isOpen = false;
-				this.lose(answer);
+				this.onDisconnect(answer);
 				for (const handler of closeHandlers) {
 					handler();
 				}
@@ -64,7 +64,7 @@
 		this.current = {
 			close,
 			answer,
-			deliver(message) {
+			deliverToEntry(message) {
 				onMessage(message);
 			},
 		};
@@ -93,37 +93,37 @@
 	};
 
 	/** Cuts the connection; what was held back stays in hand. */
-	cut(): void {
+	disconnect(): void {
 		this.current?.close();
 	}
 
 	/** Delivers a message to the target now, on the newest connection. */
-	deliver(message: LinkMessage): void {
-		this.receive(message, this.current!.answer);
+	deliverToTarget(message: LinkMessage): void {
+		this.onMessage(message, this.current!.answer);
 	}
 
 	/** Delivers messages to the entry now. */
-	hand(messages: readonly LinkMessage[]): void {
+	deliverToEntry(messages: readonly LinkMessage[]): void {
 		for (const message of messages) {
-			this.current!.deliver(message);
+			this.current!.deliverToEntry(message);
 		}
 	}
 
 	/** Ends the holding and delivers what was held, in order. */
-	release(): void {
+	deliverHeld(): void {
 		this.isHolding = false;
 		for (const message of this.toTarget.splice(0)) {
-			this.deliver(message);
+			this.deliverToTarget(message);
 		}
 
-		this.hand(this.toEntry.splice(0));
+		this.deliverToEntry(this.toEntry.splice(0));
 	}
 
 	private send(message: LinkMessage, answer: (message: LinkMessage) => boolean): void {
 		if (this.isHolding) {
 			this.toTarget.push(message);
 		} else {
-			this.receive(message, answer);
+			this.onMessage(message, answer);
 		}
 	}
 }
--- a/features/support/reply.ts
+++ b/features/support/reply.ts
@@ -5,5 +5,5 @@
 	readonly headers: Readonly<Record<string, unknown>>;
 	readonly text: string;
 	/** Whether the answer ended as HTTP says a whole answer ends. */
-	readonly isWhole: boolean;
+	readonly isComplete: boolean;
 };
--- a/features/support/scenario-clock.ts
+++ b/features/support/scenario-clock.ts
@@ -2,12 +2,12 @@
 
 /** A clock that scenarios move ahead: the running clock plus what was added. */
 export class ScenarioClock {
-	private addedMs = 0;
+	private offsetMs = 0;
 
-	readonly read = (): number => readClock() + this.addedMs;
+	readonly read = (): number => readClock() + this.offsetMs;
 
 	/** Moves the clock ahead by `ms` milliseconds. */
 	advance(ms: number): void {
-		this.addedMs += ms;
+		this.offsetMs += ms;
 	}
 }
--- a/features/support/send-request.ts
+++ b/features/support/send-request.ts
@@ -2,7 +2,7 @@
 import {type Reply} from './reply.js';
 import {tokens} from './tokens.js';
 
-type Sent = {
+type RequestOptions = {
 	readonly port: number;
 	readonly path: string;
 	readonly method?: Dispatcher.HttpMethod;
@@ -12,7 +12,7 @@
 };
 
 /** Sends a request as a caller of the organisation `granite` and reads the answer as far as it goes. */
-export async function sendRequest(sent: Sent): Promise<Reply> {
+export async function sendRequest(sent: RequestOptions): Promise<Reply> {
 	let status = 0;
 	let headers = {};
 	let text = '';
@@ -30,11 +30,11 @@
 		}
 
 		return {
-			status, headers, text, isWhole: true,
+			status, headers, text, isComplete: true,
 		};
 	} catch {
 		return {
-			status, headers, text, isWhole: false,
+			status, headers, text, isComplete: false,
 		};
 	}
 }
--- a/features/support/system-world.ts
+++ b/features/support/system-world.ts
@@ -13,7 +13,7 @@
 	readonly clock = new ScenarioClock();
 	readonly replies = new Map<string, Promise<Reply>>();
 	readonly notes = new Map<string, unknown>();
-	private readonly ends: Array<() => void> = [];
+	private readonly closeHandlers: Array<() => void> = [];
 	private running: System | undefined;
 
 	get system(): System {
@@ -37,11 +37,11 @@
 
 	/** Adds what must be ended with the scenario. */
 	onClose(end: () => void): void {
-		this.ends.push(end);
+		this.closeHandlers.push(end);
 	}
 
 	async close(): Promise<void> {
-		for (const end of this.ends) {
+		for (const end of this.closeHandlers) {
 			end();
 		}
 
--- a/src/calls/call.ts
+++ b/src/calls/call.ts
@@ -2,7 +2,7 @@
 import {type CallEvent} from './call-event.js';
 
 /** Parts after which the reader's progress is told to the target. */
-const acknowledgeEvery = 8;
+const acknowledgeIntervalParts = 8;
 
 /**
  * One attempt of a request at one target, as its entry sees it.
@@ -14,7 +14,7 @@
 	private readonly events: CallEvent[] = [];
 	private waiter: ((event: CallEvent) => void) | undefined;
 	private nextSequence = 0;
-	private taken = 0;
+	private consumed = 0;
 	private acknowledged = 0;
 	private isSettled = false;
 
@@ -26,7 +26,7 @@
 	constructor(readonly id: string, readonly attempt: number, private readonly send: (message: LinkMessage) => boolean) {}
 
 	/** Sequence number of the next part that is missing. */
-	get position(): number {
+	get missingSequence(): number {
 		return this.nextSequence;
 	}
 
@@ -67,7 +67,7 @@
 	}
 
 	/** Waits for the next event. */
-	async take(): Promise<CallEvent> {
+	async nextEvent(): Promise<CallEvent> {
 		const event = this.events.shift() ?? await new Promise<CallEvent>(resolve => {
 			this.waiter = resolve;
 		});
@@ -108,12 +108,12 @@
 			return;
 		}
 
-		this.taken = event.sequence + 1;
+		this.consumed = event.sequence + 1;
 		const isLast = event.type === 'end' || event.type === 'broken';
-		if (isLast || this.taken - this.acknowledged >= acknowledgeEvery) {
-			this.acknowledged = this.taken;
+		if (isLast || this.consumed - this.acknowledged >= acknowledgeIntervalParts) {
+			this.acknowledged = this.consumed;
 			this.send({
-				type: 'acknowledge', id: this.id, attempt: this.attempt, sequence: this.taken,
+				type: 'acknowledge', id: this.id, attempt: this.attempt, sequence: this.consumed,
 			});
 		}
 	}
--- a/src/calls/target-link.ts
+++ b/src/calls/target-link.ts
@@ -38,16 +38,16 @@
 	/** The target said that it takes nothing new. */
 	isLeaving = false;
 	/** When a request was last sent, milliseconds since the epoch. */
-	usedAt = 0;
+	lastUsedAt = 0;
 
 	private welcome: Welcome | undefined;
 	private readonly calls = new Map<string, Call>();
 	private readonly link: PersistentLink;
-	private lostAt: number | undefined;
+	private disconnectedAt: number | undefined;
 
 	constructor(private readonly options: TargetLinkOptions) {
 		this.vm = options.vm;
-		this.usedAt = options.clock();
+		this.lastUsedAt = options.clock();
 		this.link = new PersistentLink({
 			connect: options.connect,
 			random: options.random,
@@ -55,14 +55,14 @@
 				this.open(connection);
 			},
 			onLost: () => {
-				this.lostAt ??= options.clock();
+				this.disconnectedAt ??= options.clock();
 			},
 		});
 	}
 
 	/** Whether requests can be sent now. */
 	get isReady(): boolean {
-		return this.welcome !== undefined && this.lostAt === undefined && this.link.current !== undefined;
+		return this.welcome !== undefined && this.disconnectedAt === undefined && this.link.current !== undefined;
 	}
 
 	/** The process behind the link; another one after a restart. */
@@ -78,7 +78,7 @@
 	request(message: MessageOf<'request'> | MessageOf<'attach'>): Call {
 		const call = new Call(message.id, message.attempt, reply => this.link.current?.send(reply) ?? false);
 		const name = `${message.id}/${message.attempt}`;
-		this.usedAt = this.options.clock();
+		this.lastUsedAt = this.options.clock();
 		this.calls.set(name, call);
 		this.sentSinceReport++;
 		if (!this.isReady || !this.link.current!.send(message)) {
@@ -106,19 +106,19 @@
 
 	/** Gives calls up whose link has been away for too long. */
 	tick(now: number): void {
-		if (this.lostAt !== undefined && now - this.lostAt > this.options.resumeMs) {
-			this.loseCalls('the link to the target did not come back in time');
+		if (this.disconnectedAt !== undefined && now - this.disconnectedAt > this.options.resumeMs) {
+			this.failCalls('the link to the target did not come back in time');
 		}
 	}
 
 	/** Cuts the connection at once; the task connects again. */
-	cut(): void {
-		this.link.cut();
+	disconnect(): void {
+		this.link.disconnect();
 	}
 
 	close(): void {
 		this.link.close();
-		this.loseCalls('the link was closed');
+		this.failCalls('the link was closed');
 	}
 
 	private open(connection: LinkConnection): void {
@@ -131,7 +131,7 @@
 	private receive(message: LinkMessage): void {
 		switch (message.type) {
 			case 'welcome': {
-				this.greet(message);
+				this.handleWelcome(message);
 				break;
 			}
 
@@ -163,19 +163,19 @@
 		}
 	}
 
-	private greet(welcome: Welcome): void {
+	private handleWelcome(welcome: Welcome): void {
 		if (this.welcome && this.welcome.incarnation !== welcome.incarnation) {
-			this.loseCalls('the target process was replaced');
+			this.failCalls('the target process was replaced');
 		}
 
 		this.welcome = welcome;
-		this.lostAt = undefined;
+		this.disconnectedAt = undefined;
 		this.isLeaving = welcome.leaving;
 		this.noteLoad(welcome.load ?? unknownLoad);
 		this.options.onTableVersion(welcome.tableVersion);
 		for (const call of this.calls.values()) {
 			this.send({
-				type: 'resume', id: call.id, attempt: call.attempt, sequence: call.position,
+				type: 'resume', id: call.id, attempt: call.attempt, sequence: call.missingSequence,
 			});
 		}
 	}
@@ -186,7 +186,7 @@
 		this.sentSinceReport = 0;
 	}
 
-	private loseCalls(reason: string): void {
+	private failCalls(reason: string): void {
 		const calls = [...this.calls.values()];
 		this.calls.clear();
 		for (const call of calls) {
--- a/src/calls/target-pool.ts
+++ b/src/calls/target-pool.ts
@@ -22,21 +22,21 @@
 	readonly now: number;
 };
 
-type Service = {readonly kind: 'model' | 'plain'; vms: Vm[]; picked: Vm[]};
+type Service = {readonly kind: 'model' | 'plain'; vms: Vm[]; subset: Vm[]};
 type PooledLink = {readonly link: TargetLink; readonly circuit: Circuit; readonly hash: number};
 
 /** Share of a service's targets that may be kept out for failing; the rest are used whatever they did. */
-const maximumOpenShare = 1 / 3;
+const maximumExcludedShare = 1 / 3;
 
 /* Keeps out the targets that fail, those that failed for longest first, up to the share. */
-const keepOut = (ready: readonly PooledLink[], now: number): PooledLink[] => {
+const excludeFailing = (ready: readonly PooledLink[], now: number): PooledLink[] => {
 	const open = ready.filter(({circuit}) => circuit.isOpen(now)).toSorted((one, other) => other.circuit.openUntil - one.circuit.openUntil);
-	const out = new Set(open.slice(0, Math.floor(ready.length * maximumOpenShare)));
+	const out = new Set(open.slice(0, Math.floor(ready.length * maximumExcludedShare)));
 	return ready.filter(pooled => !out.has(pooled));
 };
 
 /** A link outside the subset that was not used for this long is closed, milliseconds. */
-const idleMs = 60_000;
+const idleTimeoutMs = 60_000;
 
 /** The targets that this entry knows, and its links to a subset of them. */
 export class TargetPool {
@@ -47,7 +47,7 @@
 	constructor(private readonly options: PoolOptions) {}
 
 	/** Takes the platform's list. A target that it calls leaving is still the judge of that itself. */
-	noteList(vms: readonly Vm[], now: number): void {
+	updateVms(vms: readonly Vm[], now: number): void {
 		this.vms.clear();
 		for (const service of this.services.values()) {
 			service.vms = [];
@@ -59,13 +59,13 @@
 			}
 
 			this.vms.set(vm.id, vm);
-			const service = this.services.get(vm.service) ?? {kind: vm.kind ?? 'plain', vms: [], picked: []};
+			const service = this.services.get(vm.service) ?? {kind: vm.kind ?? 'plain', vms: [], subset: []};
 			service.vms.push(vm);
 			this.services.set(vm.service, service);
 		}
 
 		for (const service of this.services.values()) {
-			this.pick(service);
+			this.updateSubset(service);
 		}
 
 		this.tick(now);
@@ -94,15 +94,15 @@
 			return undefined;
 		}
 
-		const ready = service.picked
+		const ready = service.subset
 			.map(vm => this.links.get(vm.id)!)
 			.filter(({link}) => link.isReady && !link.isLeaving && !choice.excluded.has(link.vm.id));
-		const usable = keepOut(ready, choice.now);
+		const usable = excludeFailing(ready, choice.now);
 		if (usable.length === 0) {
-			this.openMore(service);
+			this.extendSubset(service);
 		}
 
-		const chosen = chooseTarget(usable.map(pooled => this.describe(pooled)), choice);
+		const chosen = chooseTarget(usable.map(pooled => this.makeCandidate(pooled)), choice);
 		const pooled = chosen && this.links.get(chosen.id);
 		pooled?.circuit.send();
 		return pooled?.link;
@@ -120,10 +120,10 @@
 
 	/** Lets each link see the time, and closes those that are of no more use. */
 	tick(now: number): void {
-		const picked = new Set([...this.services.values()].flatMap(service => service.picked.map(({id}) => id)));
+		const picked = new Set([...this.services.values()].flatMap(service => service.subset.map(({id}) => id)));
 		for (const [id, {link}] of this.links) {
 			link.tick(now);
-			const isUnused = link.openCalls === 0 && now - link.usedAt > idleMs;
+			const isUnused = link.openCalls === 0 && now - link.lastUsedAt > idleTimeoutMs;
 			const isGone = !this.vms.has(id) && link.openCalls === 0 && !link.isReady;
 			if (isGone || (isUnused && !picked.has(id))) {
 				link.close();
@@ -139,21 +139,21 @@
 	}
 
 	/* A target that vanished from the list is kept while its link lives: the list lags, and may be cut off. */
-	private pick(service: Service): void {
+	private updateSubset(service: Service): void {
 		const {id, availabilityZone, subsetSize} = this.options;
 		const listed = new Set(service.vms.map(vm => vm.id));
-		const unlisted = service.picked.filter(vm => !listed.has(vm.id) && this.links.get(vm.id)?.link.isReady);
-		service.picked = [...pickSubset(service.vms, {entry: id, availabilityZone, size: subsetSize}), ...unlisted];
-		for (const vm of service.picked) {
+		const unlisted = service.subset.filter(vm => !listed.has(vm.id) && this.links.get(vm.id)?.link.isReady);
+		service.subset = [...pickSubset(service.vms, {entry: id, availabilityZone, size: subsetSize}), ...unlisted];
+		for (const vm of service.subset) {
 			this.open(vm);
 		}
 	}
 
-	private openMore(service: Service): void {
-		const picked = new Set(service.picked.map(({id}) => id));
+	private extendSubset(service: Service): void {
+		const picked = new Set(service.subset.map(({id}) => id));
 		const spare = service.vms.find(vm => !picked.has(vm.id) && vm.state === 'live');
 		if (spare) {
-			service.picked.push(spare);
+			service.subset.push(spare);
 			this.open(spare);
 		}
 	}
@@ -170,7 +170,7 @@
 		return pooled;
 	}
 
-	private describe({link, hash}: PooledLink): Candidate {
+	private makeCandidate({link, hash}: PooledLink): Candidate {
 		return {
 			id: link.vm.id,
 			hash,
--- a/src/cli/commands/target-order.ts
+++ b/src/cli/commands/target-order.ts
@@ -2,7 +2,7 @@
 import {readFileSync} from 'node:fs';
 import {Command, Option, UsageError} from 'clipanion';
 import {connectLink} from '../../link/connect-link.js';
-import {linkProtocol} from '../../link/link-protocol.js';
+import {linkProtocolVersion} from '../../link/link-protocol-version.js';
 import {exitCode} from '../exit-code.js';
 import {OperatorCommand} from '../operator-command.js';
 
@@ -55,7 +55,7 @@
 			}
 		});
 		connection.send({
-			type: 'hello', protocol: linkProtocol, id: 'operator', role: 'operator', availabilityZone: '', incarnation: String(process.pid), tableVersion: 0,
+			type: 'hello', protocol: linkProtocolVersion, id: 'operator', role: 'operator', availabilityZone: '', incarnation: String(process.pid), tableVersion: 0,
 		});
 	});
 }
--- a/src/entry/entry-controller.ts
+++ b/src/entry/entry-controller.ts
@@ -31,22 +31,22 @@
 	readonly log: (message: string) => void;
 };
 
-const tickMs = 250;
-const heartbeatMs = 2000;
+const tickIntervalMs = 250;
+const heartbeatIntervalMs = 2000;
 /** Entries of a zone that watch the platform for all of it. */
 const watchersPerZone = 2;
 /** How long a starting entry waits to hear of newer tables before it is ready, milliseconds. */
-const settleMs = 1500;
+const settleTimeoutMs = 1500;
 
 /** The control work of an entry: heartbeats, the list of VMs, the table's spread, limits, and what `status` shows. */
 export class EntryController {
-	private list: VmList | undefined;
-	private listAt = 0;
-	private nextListAt = 0;
+	private vmList: VmList | undefined;
+	private vmListAt = 0;
+	private nextVmListAt = 0;
 	private nextHeartbeatAt = 0;
 	private startedAt = 0;
 	private isLeaving = false;
-	private hasHeardPeer = false;
+	private hasPeerAnswered = false;
 	private timer: NodeJS.Timeout | undefined;
 
 	constructor(private readonly options: ControllerOptions) {}
@@ -54,23 +54,23 @@
 	/** Whether callers may be sent here: a table is in force, and peers had their chance to name a newer one. */
 	get isReady(): boolean {
 		const {table, clock, membership} = this.options;
-		const hasSettled = this.hasHeardPeer || membership.listPeers().length === 0 || clock() - this.startedAt > settleMs;
+		const hasSettled = this.hasPeerAnswered || membership.listPeers().length === 0 || clock() - this.startedAt > settleTimeoutMs;
 		return !this.isLeaving && table.current !== undefined && hasSettled;
 	}
 
 	async start(): Promise<void> {
 		this.startedAt = this.options.clock();
-		await this.readList();
+		await this.refreshVmList();
 		this.tick();
 		this.timer = setInterval(() => {
 			this.options.metrics.measureControl(() => {
 				this.tick();
 			});
-		}, tickMs);
+		}, tickIntervalMs);
 	}
 
 	/** Tells the balancer before this entry, by `/readyz`, to send no more callers. */
-	leave(): void {
+	startLeaving(): void {
 		this.isLeaving = true;
 	}
 
@@ -79,7 +79,7 @@
 	}
 
 	/** Tells every open peer and target of the version in force, at once. */
-	announce(): void {
+	broadcastTableVersion(): void {
 		const heartbeat = this.makeHeartbeat();
 		this.options.peers.broadcast(heartbeat);
 		for (const link of this.options.targets.list()) {
@@ -88,14 +88,14 @@
 	}
 
 	/** Learns that an entry has opened a link; one that is not known yet is looked up at once. */
-	greet(id: string): void {
+	noteEntryHello(id: string): void {
 		if (this.options.membership.getVm(id) === undefined) {
-			this.nextListAt = 0;
+			this.nextVmListAt = 0;
 		}
 	}
 
 	/** Learns of a table version from a target; asks a peer of the zone for it. */
-	noteVersion(version: number): void {
+	noteTableVersion(version: number): void {
 		const {table, clock, membership, peers} = this.options;
 		const now = clock();
 		const wish = table.noteVersion(version, '', now);
@@ -109,8 +109,8 @@
 	}
 
 	/** Takes expert loads that rank 0 of a group reported. */
-	takeLoads(message: MessageOf<'map-loads'>): void {
-		void this.options.groups.takeLoads(message, this.options.clock());
+	noteExpertLoads(message: MessageOf<'map-loads'>): void {
+		void this.options.groups.noteExpertLoads(message, this.options.clock());
 	}
 
 	/** Handles a message of another entry, or of an operator. */
@@ -119,12 +119,12 @@
 		const now = this.options.clock();
 		switch (message.type) {
 			case 'heartbeat': {
-				this.hear(message, send, now);
+				this.handleHeartbeat(message, send, now);
 				break;
 			}
 
 			case 'welcome': {
-				this.hasHeardPeer = true;
+				this.hasPeerAnswered = true;
 				const wish = table.noteVersion(message.tableVersion, '', now);
 				if (wish) {
 					send(wish);
@@ -148,7 +148,7 @@
 			}
 
 			case 'borrow': {
-				this.lend(message, send, sender, now);
+				this.handleBorrow(message, send, sender, now);
 				break;
 			}
 
@@ -176,7 +176,7 @@
 				trouble: table.trouble,
 				isWatcher: this.isWatcher(now),
 			},
-			list: {vms: this.list?.vms.length ?? 0, ageMs: this.listAt === 0 ? undefined : now - this.listAt},
+			list: {vms: this.vmList?.vms.length ?? 0, ageMs: this.vmListAt === 0 ? undefined : now - this.vmListAt},
 			entries: membership.listPeers().map(vm => ({id: vm.id, availabilityZone: vm.availabilityZone, state: membership.getState(vm.id, now)})),
 			targets: targets.list().map(link => ({
 				id: link.vm.id,
@@ -200,40 +200,40 @@
 		limits.tick(now);
 		table.setWatcher(this.isWatcher(now), now);
 		table.tick(now);
-		this.options.groups.tick(now, this.list?.vms ?? []);
+		this.options.groups.tick(now, this.vmList?.vms ?? []);
 		if (now >= this.nextHeartbeatAt) {
-			this.nextHeartbeatAt = now + heartbeatMs;
+			this.nextHeartbeatAt = now + heartbeatIntervalMs;
 			const heartbeat = this.makeHeartbeat();
 			for (const vm of membership.pickNext(now)) {
 				peers.send(vm, heartbeat);
 			}
 		}
 
-		if (now >= this.nextListAt) {
-			this.nextListAt = now + (this.options.platform.vmListIntervalMs * (0.5 + this.options.random()));
-			void this.readList();
+		if (now >= this.nextVmListAt) {
+			this.nextVmListAt = now + (this.options.platform.vmListIntervalMs * (0.5 + this.options.random()));
+			void this.refreshVmList();
 		}
 	}
 
-	private async readList(): Promise<void> {
+	private async refreshVmList(): Promise<void> {
 		const {platform, membership, targets, clock, metrics} = this.options;
 		metrics.platformCalls.inc({operation: 'vm-list'});
-		const answer = await fetchVmList({url: platform.vmList, timeoutMs: platform.timeoutMs, previous: this.list});
+		const answer = await fetchVmList({url: platform.vmList, timeoutMs: platform.timeoutMs, previous: this.vmList});
 		if (answer.isErr()) {
 			this.options.log(answer.error.message);
 			return;
 		}
 
 		const now = clock();
-		this.list = answer.value;
-		this.listAt = now;
+		this.vmList = answer.value;
+		this.vmListAt = now;
 		membership.noteList(answer.value.vms, now);
-		targets.noteList(answer.value.vms, now);
+		targets.updateVms(answer.value.vms, now);
 	}
 
-	private hear(heartbeat: MessageOf<'heartbeat'>, send: Send, now: number): void {
+	private handleHeartbeat(heartbeat: MessageOf<'heartbeat'>, send: Send, now: number): void {
 		const {membership, table} = this.options;
-		this.hasHeardPeer = true;
+		this.hasPeerAnswered = true;
 		membership.hear(heartbeat, now);
 		const wish = table.noteVersion(heartbeat.tableVersion, heartbeat.changeId, now);
 		if (wish) {
@@ -244,7 +244,7 @@
 	}
 
 	/* A bucket's name says which row holds its limit; both sides read it from the table in force. */
-	private lend(wish: MessageOf<'borrow'>, send: Send, borrower: string, now: number): void {
+	private handleBorrow(wish: MessageOf<'borrow'>, send: Send, borrower: string, now: number): void {
 		const [kindText, service, organisation] = wish.bucket.split('/');
 		const kind = LimitKind.safeParse(kindText);
 		const value = kind.success ? this.options.table.current?.findRow(service, organisation, '*')?.[kind.data] : undefined;
--- a/src/entry/group-planners.ts
+++ b/src/entry/group-planners.ts
@@ -7,7 +7,7 @@
 import {rankByRendezvous} from '../routing/rank-by-rendezvous.js';
 import {type Row} from '../table/row.js';
 
-type PlannersOptions = {
+type GroupPlannersOptions = {
 	readonly id: string;
 	readonly keyValue: KeyValue;
 	readonly membership: Membership;
@@ -21,7 +21,7 @@
 export class GroupPlanners {
 	private readonly planners = new Map<string, GroupPlanner>();
 
-	constructor(private readonly options: PlannersOptions) {}
+	constructor(private readonly options: GroupPlannersOptions) {}
 
 	/** Lets the planner of each group that falls to this entry see the time. */
 	tick(now: number, vms: readonly Vm[]): void {
@@ -33,12 +33,12 @@
 
 			const [first] = rankByRendezvous(vm.group, live);
 			if (first === this.options.id) {
-				void this.get(vm).tick(now);
+				void this.getPlanner(vm).tick(now);
 			}
 		}
 	}
 
-	async takeLoads(message: MessageOf<'map-loads'>, now: number): Promise<void> {
+	async noteExpertLoads(message: MessageOf<'map-loads'>, now: number): Promise<void> {
 		await this.planners.get(message.group)?.takeLoads(message, now);
 	}
 
@@ -48,7 +48,7 @@
 		return planner && {group, decision: planner.lastDecision};
 	}
 
-	private get(vm: Vm): GroupPlanner {
+	private getPlanner(vm: Vm): GroupPlanner {
 		const group = vm.group!;
 		const {id, keyValue, intervalMs, log, targets, getRow} = this.options;
 		const planner = this.planners.get(group) ?? new GroupPlanner({
--- a/src/entry/request-server.ts
+++ b/src/entry/request-server.ts
@@ -36,8 +36,8 @@
 /** The HTTP server for callers: turns each request into an exchange and sends it through the filters. */
 export class RequestServer {
 	private readonly server: Server;
-	private open = 0;
-	private idleListener: (() => void) | undefined;
+	private openCount = 0;
+	private onIdle: (() => void) | undefined;
 
 	constructor(private readonly options: ServerOptions) {
 		this.server = createServer();
@@ -56,7 +56,7 @@
 	}
 
 	get openRequests(): number {
-		return this.open;
+		return this.openCount;
 	}
 
 	async listen(): Promise<void> {
@@ -67,9 +67,9 @@
 	/** Takes no more connections, and waits until every open request has its answer. */
 	async drain(): Promise<void> {
 		this.server.close();
-		if (this.open > 0) {
+		if (this.openCount > 0) {
 			await new Promise<void>(resolve => {
-				this.idleListener = resolve;
+				this.onIdle = resolve;
 			});
 		}
 
@@ -93,26 +93,26 @@
 		response.setHeader('wardswitch-request-id', id);
 		response.on('close', () => {
 			if (!response.writableFinished) {
-				exchange.departure.abort();
+				exchange.callerAbort.abort();
 			}
 		});
-		this.open++;
+		this.openCount++;
 		try {
 			const result = await runFilters([makeBodyFilter(request, maximumBodyBytes), ...filters], exchange);
-			this.finish(exchange, result);
+			this.finishExchange(exchange, result);
 		} catch (error) {
 			response.destroy(error as Error);
 		} finally {
-			this.leave(span);
+			this.noteEnd(span);
 		}
 	}
 
-	private finish(exchange: Exchange, result: Result<void, Problem>): void {
+	private finishExchange(exchange: Exchange, result: Result<void, Problem>): void {
 		const {metrics, explanations, clock, tableVersion} = this.options;
 		let outcome = 'ok';
 		if (result.isErr()) {
 			({outcome} = result.error.options);
-			exchange.note(`${outcome}: ${result.error.message}`);
+			exchange.noteDecision(`${outcome}: ${result.error.message}`);
 			writeProblem(result.error, exchange.id, exchange.response);
 		} else if (!exchange.response.writableEnded) {
 			outcome = 'unknown';
@@ -129,15 +129,15 @@
 			tookMs: clock() - exchange.arrivedAt,
 			outcome,
 			tableVersion: tableVersion(),
-			decisions: exchange.trail,
+			decisions: exchange.decisions,
 		});
 	}
 
-	private leave(span: Span): void {
+	private noteEnd(span: Span): void {
 		span.end();
-		this.open--;
-		if (this.open === 0) {
-			this.idleListener?.();
+		this.openCount--;
+		if (this.openCount === 0) {
+			this.onIdle?.();
 		}
 	}
 }
--- a/src/entry/running-entry.ts
+++ b/src/entry/running-entry.ts
@@ -11,7 +11,7 @@
 	/** Document of `/status`. */
 	readonly getStatus: () => unknown;
 	/** Cuts every link to targets; they connect again. */
-	cutLinks(): void;
+	disconnectTargets(): void;
 	/** Planned stop: takes no new callers, lets open requests end, then closes. */
 	stop(): Promise<void>;
 	/** Ends at once, as a crash would. */
--- a/src/entry/start-entry.ts
+++ b/src/entry/start-entry.ts
@@ -7,8 +7,8 @@
 import {connectLink} from '../link/connect-link.js';
 import {type LinkConnection} from '../link/link-connection.js';
 import {type LinkMessage} from '../link/link-message.js';
-import {linkProtocol} from '../link/link-protocol.js';
-import {listenLink} from '../link/listen-link.js';
+import {linkProtocolVersion} from '../link/link-protocol-version.js';
+import {listenForLinks} from '../link/listen-for-links.js';
 import {type MessageOf} from '../link/message-of.js';
 import {getLogger} from '../log/get-logger.js';
 import {makeIncarnation} from '../membership/make-incarnation.js';
@@ -23,17 +23,17 @@
 import {Dispatcher} from '../requests/dispatcher.js';
 import {Explanations} from '../requests/explanations.js';
 import {makeDispatchFilter} from '../requests/filters/make-dispatch-filter.js';
-import {makeIdentifyFilter} from '../requests/filters/make-identify-filter.js';
+import {makeAuthenticationFilter} from '../requests/filters/make-authentication-filter.js';
 import {makeLimitFilter} from '../requests/filters/make-limit-filter.js';
 import {makeServiceFilter} from '../requests/filters/make-service-filter.js';
-import {makeTermsFilter} from '../requests/filters/make-terms-filter.js';
+import {makeCallOptionsFilter} from '../requests/filters/make-call-options-filter.js';
 import {makeTicketFilter} from '../requests/filters/make-ticket-filter.js';
 import {RetryBudget} from '../requests/retry-budget.js';
 import {TableController} from '../table/table-controller.js';
 import {createTracer} from '../tracing/create-tracer.js';
 import {EntryController} from './entry-controller.js';
 import {GroupPlanners} from './group-planners.js';
-import {HomeFinder} from './home-finder.js';
+import {LimitOwnerFinder} from './limit-owner-finder.js';
 import {RequestServer} from './request-server.js';
 import {type RunningEntry} from './running-entry.js';
 
@@ -60,11 +60,11 @@
 		},
 		onInstall(snapshot) {
 			metrics.tableVersion.set(snapshot.version);
-			controller.announce();
+			controller.broadcastTableVersion();
 		},
 	});
 	const hello = (): MessageOf<'hello'> => ({
-		type: 'hello', protocol: linkProtocol, id, role: 'entry', availabilityZone, incarnation, tableVersion: table.version,
+		type: 'hello', protocol: linkProtocolVersion, id, role: 'entry', availabilityZone, incarnation, tableVersion: table.version,
 	});
 	const connect = async (vm: Vm): Promise<LinkConnection> => connectLink({
 		address: vm.address,
@@ -86,10 +86,10 @@
 			random,
 			resumeMs: settings.requests.resumeMs,
 			onExpertLoads(message) {
-				controller.takeLoads(message);
+				controller.noteExpertLoads(message);
 			},
 			onTableVersion(version) {
-				controller.noteVersion(version);
+				controller.noteTableVersion(version);
 			},
 		}),
 	});
@@ -99,12 +99,12 @@
 			controller.receive(message, send, '');
 		},
 	});
-	const homes = new HomeFinder(membership, clock);
+	const limitOwners = new LimitOwnerFinder(membership, clock);
 	const limits = new LimitController({
 		id,
 		lender: new Lender(),
 		clock,
-		findHome: name => homes.get(name),
+		findHome: name => limitOwners.findOwner(name),
 		ask(home, message) {
 			const vm = membership.getVm(home);
 			return vm !== undefined && peers.send(vm, message);
@@ -112,7 +112,7 @@
 		getVisibleShare: () => membership.getVisibleShare(clock()),
 		countEntries: () => membership.listLive(clock()).length,
 	});
-	const groups = new GroupPlanners({
+	const groupPlanners = new GroupPlanners({
 		id,
 		keyValue,
 		membership,
@@ -124,7 +124,7 @@
 		},
 	});
 	const controller = new EntryController({
-		groups,
+		groups: groupPlanners,
 		id, availabilityZone, platform, membership, table, targets, peers, limits, clock, random, metrics,
 		log(message) {
 			logger.info(message);
@@ -147,7 +147,7 @@
 		},
 	});
 	const claims = new ClaimStore(keyValue, new ClaimLease({keyValue, ...settings.claims}));
-	const identify = makeIdentifyFilter(getTable);
+	const authenticate = makeAuthenticationFilter(getTable);
 	const server = new RequestServer({
 		address: settings.address,
 		port: settings.httpPort,
@@ -158,15 +158,15 @@
 		explanations,
 		tableVersion: () => table.version,
 		filters: [
-			identify,
+			authenticate,
 			makeServiceFilter({getKind: service => targets.getKind(service), getTable}),
-			makeTermsFilter(settings.requests.defaultTimeoutMs),
+			makeCallOptionsFilter(settings.requests.defaultTimeoutMs),
 			makeLimitFilter(limits),
 			makeDispatchFilter({
 				dispatcher, claims, linkKey: settings.link.key, clock,
 			}),
 		],
-		ticketFilters: [identify, makeTicketFilter({
+		ticketFilters: [authenticate, makeTicketFilter({
 			pool: targets, linkKey: settings.link.key, clock, random,
 		})],
 	});
@@ -174,14 +174,14 @@
 	const accept = (connection: LinkConnection): void => {
 		let peer: MessageOf<'hello'> | undefined;
 		connection.onMessage(message => {
-			if (message.type === 'hello' && message.protocol === linkProtocol) {
+			if (message.type === 'hello' && message.protocol === linkProtocolVersion) {
 				peer = message;
 				if (message.role === 'entry') {
-					controller.greet(message.id);
+					controller.noteEntryHello(message.id);
 				}
 
 				connection.send({
-					type: 'welcome', protocol: linkProtocol, id, availabilityZone, incarnation, tableVersion: table.version, leaving: false,
+					type: 'welcome', protocol: linkProtocolVersion, id, availabilityZone, incarnation, tableVersion: table.version, leaving: false,
 				});
 				return;
 			}
@@ -195,7 +195,7 @@
 		});
 	};
 
-	const listener = await listenLink({
+	const listener = await listenForLinks({
 		address: settings.address,
 		port: settings.linkPort,
 		key: settings.link.key,
@@ -216,7 +216,7 @@
 		pages: {
 			status: getStatus,
 			table: () => table.current && {head: table.current.head, rows: table.current.rows},
-			explain: argument => explanations.get(argument) ?? groups.explain(argument),
+			explain: argument => explanations.get(argument) ?? groupPlanners.explain(argument),
 		},
 	});
 	await controller.start();
@@ -237,13 +237,13 @@
 		getTable,
 		isReady: () => controller.isReady,
 		getStatus,
-		cutLinks() {
+		disconnectTargets() {
 			for (const link of targets.list()) {
-				link.cut();
+				link.disconnect();
 			}
 		},
 		async stop() {
-			controller.leave();
+			controller.startLeaving();
 			await delay(settings.stopDelayMs);
 			await server.drain();
 			await close();
--- a/src/expert-balance/planner-link.ts
+++ b/src/expert-balance/planner-link.ts
@@ -33,7 +33,7 @@
 
 		if (this.open?.link.current && now - this.open.heardAt > silentMs) {
 			this.open.heardAt = now;
-			this.open.link.cut();
+			this.open.link.disconnect();
 		}
 
 		if (wanted !== undefined) {
--- a/src/expert-balance/start-rank-process.ts
+++ b/src/expert-balance/start-rank-process.ts
@@ -4,7 +4,7 @@
 import {type ChangeFeed} from '../key-value/change-feed.js';
 import {type Registry} from '../key-value/registry.js';
 import {connectLink} from '../link/connect-link.js';
-import {listenLink} from '../link/listen-link.js';
+import {listenForLinks} from '../link/listen-for-links.js';
 import {getLogger} from '../log/get-logger.js';
 import {makeViewGauges} from '../metrics/make-view-gauges.js';
 import {RankMetrics} from '../metrics/rank-metrics.js';
@@ -60,7 +60,7 @@
 		log,
 	});
 	makeViewGauges(metrics.registry, () => tasks.view, surroundings.clock);
-	const listener = await listenLink({
+	const listener = await listenForLinks({
 		...settings.link,
 		address,
 		port: linkPort,
--- a/src/forward/make-entry-state.ts
+++ b/src/forward/make-entry-state.ts
@@ -3,7 +3,7 @@
 import {type TargetDirectory} from '../fleet/target-directory.js';
 import {type ChangeFeed} from '../key-value/change-feed.js';
 import {type Registry} from '../key-value/registry.js';
-import {linkProtocol} from '../link/link-protocol.js';
+import {linkProtocolVersion} from '../link/link-protocol-version.js';
 import {type LinkConnection} from '../link/link-connection.js';
 import {type LinkMessage} from '../link/link-message.js';
 import {EntryMesh} from '../mesh/entry-mesh.js';
@@ -75,7 +75,7 @@
 	});
 	const fleet = new FleetState({...options, view, log: log.fleet});
 	const hello = (): LinkMessage => ({
-		type: 'hello', protocol: linkProtocol, id, role: 'entry', availabilityZone, incarnation, tableVersion: 0,
+		type: 'hello', protocol: linkProtocolVersion, id, role: 'entry', availabilityZone, incarnation, tableVersion: 0,
 	});
 	const mesh = new EntryMesh({
 		...options, hello, view, getConfigurationVersion: () => fleet.table?.version ?? 0, log: log.view,
--- a/src/forward/start-forward-entry.ts
+++ b/src/forward/start-forward-entry.ts
@@ -2,7 +2,7 @@
 import {type ForwardEntrySettings} from '../config/forward-entry-settings.js';
 import {connectLink} from '../link/connect-link.js';
 import {type LinkConnection} from '../link/link-connection.js';
-import {listenLink} from '../link/listen-link.js';
+import {listenForLinks} from '../link/listen-for-links.js';
 import {type MessageOf} from '../link/message-of.js';
 import {getLogger} from '../log/get-logger.js';
 import {makeIncarnation} from '../membership/make-incarnation.js';
@@ -162,7 +162,7 @@
 		connection.send({type: 'engine-outcome', number, outcome});
 	};
 
-	const listener = await listenLink({
+	const listener = await listenForLinks({
 		...settings.link,
 		address,
 		port: settings.linkPort,
--- a/src/link/link-connection.ts
+++ b/src/link/link-connection.ts
@@ -15,7 +15,7 @@
 	private messageHandler: ((message: LinkMessage) => void) | undefined;
 	private failure: LinkError | undefined;
 	private isCorked = false;
-	private isLive = true;
+	private isUsable = true;
 
 	/**
 	 * @param socket - an established TLS socket; the link owns it from here
@@ -32,13 +32,13 @@
 			this.failure ??= new LinkError('socket', error.message);
 		});
 		socket.on('close', () => {
-			this.finish();
+			this.noteClosed();
 		});
 	}
 
 	/** Whether messages can still be sent. */
 	get isOpen(): boolean {
-		return this.isLive;
+		return this.isUsable;
 	}
 
 	/** Sets the one receiver of messages. */
@@ -57,7 +57,7 @@
 	 * @returns whether the message was handed to the socket; false proves that it never left
 	 */
 	send(message: LinkMessage): boolean {
-		if (!this.isLive || this.socket.destroyed) {
+		if (!this.isUsable || this.socket.destroyed) {
 			return false;
 		}
 
@@ -76,7 +76,7 @@
 	/** Cuts the link at once. */
 	destroy(): void {
 		this.socket.destroy();
-		this.finish();
+		this.noteClosed();
 	}
 
 	private cork(): void {
@@ -114,12 +114,12 @@
 		this.messageHandler?.(parsed.data);
 	}
 
-	private finish(): void {
-		if (!this.isLive) {
+	private noteClosed(): void {
+		if (!this.isUsable) {
 			return;
 		}
 
-		this.isLive = false;
+		this.isUsable = false;
 		for (const handler of this.closeHandlers) {
 			handler(this.failure);
 		}
--- a/src/link/link-message.ts
+++ b/src/link/link-message.ts
@@ -11,7 +11,7 @@
 
 const bytes = z.instanceof(Uint8Array);
 const headers = z.record(z.string(), z.union([z.string(), z.array(z.string())]));
-const call = {id: z.string().max(128), attempt: z.int().min(0)};
+const callFields = {id: z.string().max(128), attempt: z.int().min(0)};
 const sequence = z.int().min(0);
 const tableVersion = z.int().min(0);
 const recordState = z.enum(['absent', 'running', 'done']);
@@ -22,7 +22,7 @@
 	concurrency: z.int().min(1),
 	serviceMs: z.number().min(0),
 });
-const process = {
+const processFields = {
 	protocol: z.int(),
 	id: z.string(),
 	availabilityZone: z.string(),
@@ -40,17 +40,17 @@
 
 /** Every message that two processes of the system exchange on a link. */
 const LinkMessage = z.discriminatedUnion('type', [
-	z.object({type: z.literal('hello'), ...process, role: z.enum(['entry', 'target', 'operator'])}),
+	z.object({type: z.literal('hello'), ...processFields, role: z.enum(['entry', 'target', 'operator'])}),
 	z.object({
 		type: z.literal('welcome'),
-		...process,
+		...processFields,
 		leaving: z.boolean(),
 		service: z.string().optional(),
 		load: load.optional(),
 	}),
 	z.object({
 		type: z.literal('request'),
-		...call,
+		...callFields,
 		method: z.string(),
 		path: z.string(),
 		headers,
@@ -64,19 +64,19 @@
 		tableVersion,
 		once: once.optional(),
 	}),
-	z.object({type: z.literal('cancel'), ...call}),
-	z.object({type: z.literal('cancelled'), ...call, started: z.boolean()}),
-	z.object({type: z.literal('resume'), ...call, sequence}),
-	z.object({type: z.literal('acknowledge'), ...call, sequence}),
+	z.object({type: z.literal('cancel'), ...callFields}),
+	z.object({type: z.literal('cancelled'), ...callFields, started: z.boolean()}),
+	z.object({type: z.literal('resume'), ...callFields, sequence}),
+	z.object({type: z.literal('acknowledge'), ...callFields, sequence}),
 	z.object({
 		type: z.literal('attach'),
-		...call,
+		...callFields,
 		key: z.string(),
 		owner: z.string(),
 	}),
 	z.object({
 		type: z.literal('head'),
-		...call,
+		...callFields,
 		sequence,
 		status: z.int(),
 		headers,
@@ -84,20 +84,20 @@
 	}),
 	z.object({
 		type: z.literal('data'),
-		...call,
+		...callFields,
 		sequence,
 		chunk: bytes,
 	}),
-	z.object({type: z.literal('end'), ...call, sequence}),
+	z.object({type: z.literal('end'), ...callFields, sequence}),
 	z.object({
 		type: z.literal('broken'),
-		...call,
+		...callFields,
 		sequence,
 		reason: z.string(),
 	}),
 	z.object({
 		type: z.literal('refused'),
-		...call,
+		...callFields,
 		reason: z.enum(['leaving', 'busy', 'full', 'late', 'cancelled', 'incarnation', 'expired', 'duplicate', 'unavailable', 'unknown-call']),
 		retryAfterMs: z.number().min(0),
 		record: recordState.optional(),
--- a/src/link/link-protocol.ts
+++ b/src/link/link-protocol-version.ts
@@ -1,2 +1,2 @@
 /** Version of the messages on links; a peer with another one is turned away. */
-export const linkProtocol = 2;
+export const linkProtocolVersion = 2;
--- a/src/link/listen-link.ts
+++ b/src/link/listen-for-links.ts
@@ -19,7 +19,7 @@
 };
 
 /** Listens for links; a peer without the key is turned away before it can send a message. */
-export async function listenLink(options: ListenOptions): Promise<LinkListener> {
+export async function listenForLinks(options: ListenOptions): Promise<LinkListener> {
 	const key = Buffer.from(options.key, 'hex');
 	const connections = new Set<LinkConnection>();
 	const server = createServer({
--- a/src/link/persistent-link.ts
+++ b/src/link/persistent-link.ts
@@ -12,13 +12,13 @@
 	readonly maximumDelayMs?: number;
 };
 
-const firstDelayMs = 50;
-const defaultMaximumDelayMs = 5000;
+const initialRetryDelayMs = 50;
+const defaultMaximumRetryDelayMs = 5000;
 
 /** A task that keeps one link open: connects, and connects again with growing, jittered delays until it is closed. */
 export class PersistentLink {
 	private connection: LinkConnection | undefined;
-	private delayMs = firstDelayMs;
+	private retryDelayMs = initialRetryDelayMs;
 	private timer: NodeJS.Timeout | undefined;
 	private isClosed = false;
 
@@ -39,7 +39,7 @@
 	}
 
 	/** Cuts the connection at once; the task connects again. */
-	cut(): void {
+	disconnect(): void {
 		this.connection?.destroy();
 	}
 
@@ -52,17 +52,17 @@
 			}
 
 			this.connection = connection;
-			this.delayMs = firstDelayMs;
+			this.retryDelayMs = initialRetryDelayMs;
 			connection.onClose(error => {
-				this.lose(error?.message ?? 'closed by the peer');
+				this.scheduleReconnect(error?.message ?? 'closed by the peer');
 			});
 			this.options.onOpen(connection);
 		} catch (error) {
-			this.lose((error as Error).message);
+			this.scheduleReconnect((error as Error).message);
 		}
 	}
 
-	private lose(message: string): void {
+	private scheduleReconnect(message: string): void {
 		this.connection = undefined;
 		if (this.isClosed) {
 			return;
@@ -72,7 +72,7 @@
 		const jitter = 0.5 + this.options.random();
 		this.timer = setTimeout(() => {
 			void this.open();
-		}, this.delayMs * jitter);
-		this.delayMs = Math.min(this.delayMs * 2, this.options.maximumDelayMs ?? defaultMaximumDelayMs);
+		}, this.retryDelayMs * jitter);
+		this.retryDelayMs = Math.min(this.retryDelayMs * 2, this.options.maximumDelayMs ?? defaultMaximumRetryDelayMs);
 	}
 }
--- a/src/mesh/entry-mesh.ts
+++ b/src/mesh/entry-mesh.ts
@@ -95,7 +95,7 @@
 		for (const peer of this.peers.values()) {
 			if (peer.link.current && now - peer.heardAt > lostMs) {
 				peer.heardAt = now;
-				peer.link.cut();
+				peer.link.disconnect();
 			}
 		}
 	}
--- a/src/requests/dispatcher.ts
+++ b/src/requests/dispatcher.ts
@@ -22,11 +22,11 @@
 	readonly onRetry: (isAllowed: boolean) => void;
 };
 
-type Join = Extract<RunPermit, {kind: 'join'}>;
+type JoinPermit = Extract<RunPermit, {kind: 'join'}>;
 type Progress = {
 	attempt: number;
 	/** Attempts that do not count, since they only asked. */
-	attemptsSaved: number;
+	probeAttempts: number;
 	/** How many targets may still be asked to take the request at once or not at all. */
 	probesLeft: number;
 	/** Targets that were asked and were busy, with the wait that each expects. */
@@ -48,16 +48,16 @@
 	/** Runs a request to its end; the caller has had the answer, or the problem is returned. */
 	async run(exchange: Exchange, guard: RunGuard): Promise<Result<void, Problem>> {
 		const progress: Progress = {
-			attempt: 0, attemptsSaved: 0, probesLeft: maximumProbes, busy: new Map(), retryAfterMs: 0, reason: 'no target is ready', excluded: new Set(),
+			attempt: 0, probeAttempts: 0, probesLeft: maximumProbes, busy: new Map(), retryAfterMs: 0, reason: 'no target is ready', excluded: new Set(),
 		};
-		this.options.budget.earn();
-		while (progress.attempt - progress.attemptsSaved < this.options.maximumAttempts) {
-			const link = this.choose(exchange, guard, progress);
+		this.options.budget.deposit();
+		while (progress.attempt - progress.probeAttempts < this.options.maximumAttempts) {
+			const link = this.chooseLink(exchange, guard, progress);
 			if (!link) {
 				break;
 			}
 
-			const ended = await this.tryOnce(exchange, guard, link, progress);
+			const ended = await this.tryTarget(exchange, guard, link, progress);
 			if (ended) {
 				return ended;
 			}
@@ -66,7 +66,7 @@
 		return this.giveUp(exchange, guard, progress);
 	}
 
-	private choose(exchange: Exchange, guard: RunGuard, progress: Progress): TargetLink | undefined {
+	private chooseLink(exchange: Exchange, guard: RunGuard, progress: Progress): TargetLink | undefined {
 		if (progress.busy.size >= maximumProbes) {
 			return this.takeLeastBusy(progress);
 		}
@@ -98,7 +98,7 @@
 	}
 
 	/* Gives the end of the request, or undefined when another target may be tried. */
-	private async tryOnce(exchange: Exchange, guard: RunGuard, link: TargetLink, progress: Progress): Promise<Result<void, Problem> | undefined> {
+	private async tryTarget(exchange: Exchange, guard: RunGuard, link: TargetLink, progress: Progress): Promise<Result<void, Problem> | undefined> {
 		const permit = await exchange.trace('guard', async () => guard.admit(link));
 		if (permit.isErr()) {
 			return err(permit.error);
@@ -106,18 +106,18 @@
 
 		progress.attempt++;
 		if (permit.value.kind === 'join') {
-			return this.join(exchange, guard, permit.value, progress.attempt);
+			return this.joinFirstRun(exchange, guard, permit.value, progress.attempt);
 		}
 
 		const timeoutMs = exchange.deadline - this.options.clock();
 		if (timeoutMs <= 0) {
 			progress.reason = 'late';
-			progress.attempt = this.options.maximumAttempts + progress.attemptsSaved;
+			progress.attempt = this.options.maximumAttempts + progress.probeAttempts;
 			return undefined;
 		}
 
 		const {once} = permit.value;
-		exchange.note(`attempt ${progress.attempt} at ${link.vm.id}`);
+		exchange.noteDecision(`attempt ${progress.attempt} at ${link.vm.id}`);
 		const result = await exchange.trace('link', async span => {
 			const request = this.makeRequest(exchange, progress, timeoutMs, once);
 			writeTraceParent(span, request.headers);
@@ -125,32 +125,32 @@
 				link, exchange, timeoutMs, mayCancel: once === undefined,
 			});
 		});
-		return this.judge(result, exchange, guard, link, progress);
+		return this.handleResult(result, exchange, guard, link, progress);
 	}
 
-	private judge(result: AttemptResult, exchange: Exchange, guard: RunGuard, link: TargetLink, progress: Progress): Result<void, Problem> | undefined {
+	private handleResult(result: AttemptResult, exchange: Exchange, guard: RunGuard, link: TargetLink, progress: Progress): Result<void, Problem> | undefined {
 		const now = this.options.clock();
 		const {id} = link.vm;
 		if (result.kind === 'answered') {
-			this.options.pool.noteResult(id, result.isWhole || exchange.departure.signal.aborted, now);
-			exchange.note(result.isWhole ? `answered whole by ${id}` : `answer of ${id} broke off`);
+			this.options.pool.noteResult(id, result.isComplete || exchange.callerAbort.signal.aborted, now);
+			exchange.noteDecision(result.isComplete ? `answered whole by ${id}` : `answer of ${id} broke off`);
 			return ok();
 		}
 
-		exchange.note(`${id}: ${result.kind}, ${result.reason}`);
+		exchange.noteDecision(`${id}: ${result.kind}, ${result.reason}`);
 		progress.reason = result.reason;
 		if (result.kind === 'not-run') {
 			this.noteRefusal(result, guard, id, progress);
 			return undefined;
 		}
 
-		const isOwnDoing = exchange.departure.signal.aborted || now >= exchange.deadline;
-		this.options.pool.noteResult(id, isOwnDoing, now);
-		if (isOwnDoing || !guard.isRepeatable) {
+		const isGivenUp = exchange.callerAbort.signal.aborted || now >= exchange.deadline;
+		this.options.pool.noteResult(id, isGivenUp, now);
+		if (isGivenUp || !guard.isRepeatable) {
 			return err(makeUnknownProblem(result.reason, now >= exchange.deadline, guard));
 		}
 
-		const isAllowed = this.options.budget.spend();
+		const isAllowed = this.options.budget.tryWithdraw();
 		this.options.onRetry(isAllowed);
 		progress.excluded.add(id);
 		return isAllowed ? undefined : err(makeUnknownProblem(`${result.reason}; the budget of retries is spent`, false, guard));
@@ -171,7 +171,7 @@
 			case 'busy': {
 				// Asking costs a round trip and no attempt.
 				progress.probesLeft--;
-				progress.attemptsSaved++;
+				progress.probeAttempts++;
 				progress.busy.set(id, result.retryAfterMs);
 				progress.excluded.add(id);
 				break;
@@ -184,11 +184,11 @@
 	}
 
 	/* A copy of this request came first: its answer is ours too, if its target process still has it. */
-	private async join(exchange: Exchange, guard: RunGuard, first: Join, attempt: number): Promise<Result<void, Problem> | undefined> {
-		exchange.note(`joins request ${first.owner} at ${first.target}`);
+	private async joinFirstRun(exchange: Exchange, guard: RunGuard, first: JoinPermit, attempt: number): Promise<Result<void, Problem> | undefined> {
+		exchange.noteDecision(`joins request ${first.owner} at ${first.target}`);
 		const link = this.options.pool.get(first.target);
 		if (!link?.isReady || link.incarnation !== first.incarnation) {
-			return err(makeUsedProblem('the target process that has it cannot be reached, or was replaced', 'unknown'));
+			return err(makeKeyUsedProblem('the target process that has it cannot be reached, or was replaced', 'unknown'));
 		}
 
 		const timeoutMs = Math.max(0, exchange.deadline - this.options.clock());
@@ -199,7 +199,7 @@
 		const result = await followCall(call, {
 			link, exchange, timeoutMs, mayCancel: false,
 		});
-		exchange.note(`${first.target}: ${result.kind}`);
+		exchange.noteDecision(`${first.target}: ${result.kind}`);
 		if (result.kind === 'answered') {
 			return ok();
 		}
@@ -211,8 +211,8 @@
 		}
 
 		return result.kind === 'not-run' && result.reason === 'duplicate'
-			? err(makeUsedProblem('it ran, and its answer is no longer kept', 'used'))
-			: err(makeUsedProblem(result.reason, 'unknown'));
+			? err(makeKeyUsedProblem('it ran, and its answer is no longer kept', 'used'))
+			: err(makeKeyUsedProblem(result.reason, 'unknown'));
 	}
 
 	private async giveUp(exchange: Exchange, guard: RunGuard, progress: Progress): Promise<Result<void, Problem>> {
@@ -267,7 +267,7 @@
 	});
 }
 
-function makeUsedProblem(detail: string, keyState: 'used' | 'unknown'): Problem {
+function makeKeyUsedProblem(detail: string, keyState: 'used' | 'unknown'): Problem {
 	return new Problem({
 		status: 409,
 		title: 'A request with this key came first',
--- a/src/requests/exchange.ts
+++ b/src/requests/exchange.ts
@@ -3,7 +3,7 @@
 import {traceHop} from '../tracing/trace-hop.js';
 import {type Row} from '../table/row.js';
 
-type Origin = Pick<Exchange, 'id' | 'method' | 'url' | 'headers' | 'response' | 'arrivedAt' | 'span' | 'tracer'>;
+type ExchangeOptions = Pick<Exchange, 'id' | 'method' | 'url' | 'headers' | 'response' | 'arrivedAt' | 'span' | 'tracer'>;
 
 /** One request of a caller on its way through the filters; each filter fills in what it finds. */
 export class Exchange {
@@ -27,9 +27,9 @@
 	/** Estimate of the tokens that the request will cost. */
 	tokens = 0;
 	/** Whether the caller has gone away. */
-	readonly departure = new AbortController();
+	readonly callerAbort = new AbortController();
 	/** What was decided and why, for `explain`. */
-	readonly trail: string[] = [];
+	readonly decisions: string[] = [];
 
 	readonly id: string;
 	readonly method: string;
@@ -41,7 +41,7 @@
 	readonly span: Span;
 	readonly tracer: Tracer;
 
-	constructor(origin: Origin) {
+	constructor(origin: ExchangeOptions) {
 		this.id = origin.id;
 		this.method = origin.method;
 		this.url = origin.url;
@@ -58,7 +58,7 @@
 	}
 
 	/** Notes a decision for `explain`. */
-	note(decision: string): void {
-		this.trail.push(decision);
+	noteDecision(decision: string): void {
+		this.decisions.push(decision);
 	}
 }
--- a/src/requests/explanations.ts
+++ b/src/requests/explanations.ts
@@ -10,21 +10,21 @@
 	readonly decisions: readonly string[];
 };
 
-const maximumKept = 1000;
+const maximumExplanations = 1000;
 
 /** The decisions on the last requests, for `explain`. */
 export class Explanations {
-	private readonly kept = new Map<string, Explanation>();
+	private readonly byId = new Map<string, Explanation>();
 
 	add(explanation: Explanation): void {
-		this.kept.set(explanation.id, explanation);
-		if (this.kept.size > maximumKept) {
-			const [oldest] = this.kept.keys();
-			this.kept.delete(oldest);
+		this.byId.set(explanation.id, explanation);
+		if (this.byId.size > maximumExplanations) {
+			const [oldest] = this.byId.keys();
+			this.byId.delete(oldest);
 		}
 	}
 
 	get(id: string): Explanation | undefined {
-		return this.kept.get(id);
+		return this.byId.get(id);
 	}
 }
--- a/src/requests/filters/make-identify-filter.ts
+++ b/src/requests/filters/make-authentication-filter.ts
@@ -7,7 +7,7 @@
 const scheme = /^bearer (?<token>\S+)$/iv;
 
 /** Finds the organisation by the bearer token; the table holds only the tokens' hashes. */
-export function makeIdentifyFilter(getTable: () => TableSnapshot | undefined): Filter {
+export function makeAuthenticationFilter(getTable: () => TableSnapshot | undefined): Filter {
 	return async (exchange, next) => {
 		const token = scheme.exec(exchange.headers.authorization ?? '')?.groups?.token;
 		const hash = createHash('sha256').update(token ?? '').digest('hex');
--- a/src/requests/filters/make-terms-filter.ts
+++ b/src/requests/filters/make-call-options-filter.ts
@@ -9,7 +9,7 @@
 const maximumKeyLength = 255;
 
 /** Reads what the caller says of deadline, priority and repetition. */
-export function makeTermsFilter(defaultTimeoutMs: number): Filter {
+export function makeCallOptionsFilter(defaultTimeoutMs: number): Filter {
 	return async (exchange, next) => {
 		const problem = readTimeout(exchange, defaultTimeoutMs) ?? readRepetition(exchange);
 		if (problem) {
--- a/src/requests/filters/make-limit-filter.ts
+++ b/src/requests/filters/make-limit-filter.ts
@@ -13,22 +13,22 @@
 			return next();
 		}
 
-		const held = await exchange.trace('limits', async () => limits.acquire(demands));
-		if (held.isErr()) {
-			exchange.note(held.error.message);
+		const acquired = await exchange.trace('limits', async () => limits.acquire(demands));
+		if (acquired.isErr()) {
+			exchange.noteDecision(acquired.error.message);
 			return err(new Problem({
 				status: 429,
 				title: 'Limit reached',
-				detail: `${held.error.message} of ${exchange.organisation} at ${exchange.service}`,
+				detail: `${acquired.error.message} of ${exchange.organisation} at ${exchange.service}`,
 				outcome: 'not-run',
-				retryAfterMs: held.error.retryAfterMs,
+				retryAfterMs: acquired.error.retryAfterMs,
 			}));
 		}
 
 		try {
 			return await next();
 		} finally {
-			held.value();
+			acquired.value();
 		}
 	};
 }
@@ -38,8 +38,8 @@
 	const kinds = ['requestsPerSecond', 'tokensPerSecond', 'concurrency'] as const;
 	return kinds.flatMap(kind => {
 		const value = row?.[kind];
-		const isAsked = value !== undefined && amounts[kind] > 0;
-		return isAsked
+		const isLimited = value !== undefined && amounts[kind] > 0;
+		return isLimited
 			? [{
 				name: `${kind}/${service}/${organisation}`, kind, value, amount: amounts[kind],
 			}]
--- a/src/requests/filters/make-service-filter.ts
+++ b/src/requests/filters/make-service-filter.ts
@@ -14,8 +14,8 @@
 const modelPaths = new Set(['/v1/chat/completions', '/v1/completions']);
 const plainPath = /^\/services\/(?<service>[\w.\-]+)(?<rest>\/.*)?$/v;
 /** Characters of a prompt that decide which engine may still hold its beginning. */
-const prefixLength = 512;
-const defaultTokens = 256;
+const prefixCharacters = 512;
+const defaultAnswerTokens = 256;
 /** Characters that one token of a prompt has about. */
 const charactersPerToken = 4;
 
@@ -64,8 +64,8 @@
 	exchange.kind = 'model';
 	exchange.service = parsed.data.model;
 	exchange.path = exchange.url;
-	exchange.prefixHash = hashText(`${exchange.organisation} ${prompt.slice(0, prefixLength)}`);
-	exchange.tokens = Math.ceil(prompt.length / charactersPerToken) + (parsed.data.max_tokens ?? defaultTokens);
+	exchange.prefixHash = hashText(`${exchange.organisation} ${prompt.slice(0, prefixCharacters)}`);
+	exchange.tokens = Math.ceil(prompt.length / charactersPerToken) + (parsed.data.max_tokens ?? defaultAnswerTokens);
 	return undefined;
 }
 
--- a/src/requests/filters/make-ticket-filter.ts
+++ b/src/requests/filters/make-ticket-filter.ts
@@ -13,12 +13,12 @@
 	readonly random: () => number;
 };
 
-const ticketMs = 600_000;
-const wish = z.object({service: z.string()});
+const ticketLifetimeMs = 600_000;
+const TicketRequest = z.object({service: z.string()});
 
-const parseWish = (body: Uint8Array): z.infer<typeof wish> | undefined => {
+const parseTicketRequest = (body: Uint8Array): z.infer<typeof TicketRequest> | undefined => {
 	try {
-		return wish.parse(JSON.parse(new TextDecoder().decode(body)));
+		return TicketRequest.parse(JSON.parse(new TextDecoder().decode(body)));
 	} catch {
 		return undefined;
 	}
@@ -27,7 +27,7 @@
 /** Ends the chain of `POST /tickets`: gives a ticket for one run at a target process that is ready now. */
 export function makeTicketFilter(options: TicketFilterOptions): Filter {
 	return async exchange => {
-		const parsed = parseWish(exchange.body);
+		const parsed = parseTicketRequest(exchange.body);
 		if (!parsed) {
 			return err(new Problem({
 				status: 400, title: 'Bad request', detail: 'expected a JSON body {"service": "<name>"}', outcome: 'not-run',
@@ -46,7 +46,7 @@
 
 		options.pool.noteResult(link.vm.id, true, now);
 		const ticket = {
-			id: randomUUID(), service: parsed.service, organisation: exchange.organisation, target: link.vm.id, incarnation: link.incarnation, expiresAt: now + ticketMs,
+			id: randomUUID(), service: parsed.service, organisation: exchange.organisation, target: link.vm.id, incarnation: link.incarnation, expiresAt: now + ticketLifetimeMs,
 		};
 		exchange.response.writeHead(201, {'content-type': 'application/json'});
 		exchange.response.end(JSON.stringify({ticket: signTicket(ticket, options.linkKey), target: ticket.target, expiresAt: new Date(ticket.expiresAt).toISOString()}));
--- a/src/requests/follow-call.ts
+++ b/src/requests/follow-call.ts
@@ -5,7 +5,7 @@
 import {relayAnswer} from './relay-answer.js';
 
 /** Longest wait for a target's word on a call that was given up, milliseconds. */
-const cancelMs = 250;
+const cancelTimeoutMs = 250;
 
 type FollowOptions = {
 	readonly link: TargetLink;
@@ -27,32 +27,32 @@
 
 		graceTimer ??= setTimeout(() => {
 			call.settle({type: 'lost', reason});
-		}, cancelMs);
+		}, cancelTimeoutMs);
 	};
 
 	const deadlineTimer = setTimeout(() => {
 		giveUp('the deadline passed');
 	}, timeoutMs);
-	const leave = (): void => {
+	const onCallerAbort = (): void => {
 		giveUp('the caller left');
 	};
 
-	exchange.departure.signal.addEventListener('abort', leave, {once: true});
+	exchange.callerAbort.signal.addEventListener('abort', onCallerAbort, {once: true});
 	try {
 		return await readResult(call, exchange);
 	} finally {
 		clearTimeout(deadlineTimer);
 		clearTimeout(graceTimer);
-		exchange.departure.signal.removeEventListener('abort', leave);
+		exchange.callerAbort.signal.removeEventListener('abort', onCallerAbort);
 		link.release(call);
 	}
 }
 
 async function readResult(call: Call, exchange: Exchange): Promise<AttemptResult> {
-	const event = await call.take();
+	const event = await call.nextEvent();
 	switch (event.type) {
 		case 'head': {
-			return {kind: 'answered', isWhole: await relayAnswer(event, call, exchange.response)};
+			return {kind: 'answered', isComplete: await relayAnswer(event, call, exchange.response)};
 		}
 
 		case 'refused': {
--- a/src/requests/relay-answer.ts
+++ b/src/requests/relay-answer.ts
@@ -14,7 +14,7 @@
 const isEventStream = (response: ServerResponse): boolean => String(response.getHeader('content-type') ?? '').startsWith('text/event-stream');
 
 /* What the caller has so far must not pass for a whole answer. */
-const breakOff = (response: ServerResponse, reason: string): void => {
+const abortResponse = (response: ServerResponse, reason: string): void => {
 	if (isEventStream(response) && !response.destroyed) {
 		const problem = JSON.stringify({title: 'The answer broke off', detail: reason, outcome: 'unknown'});
 		response.write(`event: error\ndata: ${problem}\n\n`, () => {
@@ -33,7 +33,7 @@
 export async function relayAnswer(head: Head, call: Call, response: ServerResponse): Promise<boolean> {
 	response.writeHead(head.status, head.headers);
 	for (;;) {
-		const event = await call.take();
+		const event = await call.nextEvent();
 		switch (event.type) {
 			case 'data': {
 				await writeChunk(response, event.chunk);
@@ -46,7 +46,7 @@
 			}
 
 			default: {
-				breakOff(response, 'reason' in event ? event.reason : event.type);
+				abortResponse(response, 'reason' in event ? event.reason : event.type);
 				return false;
 			}
 		}
--- a/src/requests/run-filters.ts
+++ b/src/requests/run-filters.ts
@@ -3,10 +3,10 @@
 import {type Problem} from './problem.js';
 
 /** Runs the chain of filters, each around the next. */
-export async function runFilters<Subject>(filters: ReadonlyArray<Filter<Subject>>, exchange: Subject, index = 0): Promise<Result<void, Problem>> {
+export async function runFilters<Subject>(filters: ReadonlyArray<Filter<Subject>>, subject: Subject, index = 0): Promise<Result<void, Problem>> {
 	if (index === filters.length) {
 		return ok();
 	}
 
-	return filters[index](exchange, async () => runFilters(filters, exchange, index + 1));
+	return filters[index](subject, async () => runFilters(filters, subject, index + 1));
 }
--- a/src/target/answer-buffer.ts
+++ b/src/target/answer-buffer.ts
@@ -12,16 +12,16 @@
  */
 export class AnswerBuffer {
 	private parts: NumberedPart[] = [];
-	private keptBytes = 0;
-	private unreadBytes = 0;
+	private bufferedBytes = 0;
+	private unacknowledgedBytes = 0;
 	private nextSequence = 0;
 	private acknowledged = 0;
 
 	/**
 	 * @param maximumBytes - kept bytes above which acknowledged parts are dropped and the engine is made to wait
-	 * @param keepsWhole - whether acknowledged parts stay while there is room
+	 * @param isReplayable - whether acknowledged parts stay while there is room
 	 */
-	constructor(private readonly maximumBytes: number, private readonly keepsWhole: boolean) {}
+	constructor(private readonly maximumBytes: number, private readonly isReplayable: boolean) {}
 
 	/** Whether the answer has ended, wholly or broken. */
 	get isEnded(): boolean {
@@ -31,11 +31,11 @@
 
 	/** Whether more parts may be added now; false asks the engine to wait for the reader. */
 	get hasRoom(): boolean {
-		return this.unreadBytes < this.maximumBytes;
+		return this.unacknowledgedBytes < this.maximumBytes;
 	}
 
 	/** Whether the reader has acknowledged every part so far. */
-	get isRead(): boolean {
+	get isAcknowledged(): boolean {
 		return this.acknowledged === this.nextSequence;
 	}
 
@@ -44,8 +44,8 @@
 		const bytes = partOverheadBytes + (part.type === 'data' ? part.chunk.length : 0);
 		const sequence = this.nextSequence++;
 		this.parts.push({sequence, part, bytes});
-		this.keptBytes += bytes;
-		this.unreadBytes += bytes;
+		this.bufferedBytes += bytes;
+		this.unacknowledgedBytes += bytes;
 		this.trim();
 		return sequence;
 	}
@@ -54,7 +54,7 @@
 	acknowledge(sequence: number): void {
 		for (const part of this.parts) {
 			if (part.sequence >= this.acknowledged && part.sequence < sequence) {
-				this.unreadBytes -= part.bytes;
+				this.unacknowledgedBytes -= part.bytes;
 			}
 		}
 
@@ -69,10 +69,10 @@
 	}
 
 	private trim(): void {
-		const mustDrop = () => !this.keepsWhole || this.keptBytes > this.maximumBytes;
+		const mustDrop = () => !this.isReplayable || this.bufferedBytes > this.maximumBytes;
 		let count = 0;
 		while (count < this.parts.length - 1 && this.parts[count].sequence < this.acknowledged && mustDrop()) {
-			this.keptBytes -= this.parts[count].bytes;
+			this.bufferedBytes -= this.parts[count].bytes;
 			count++;
 		}
 
--- a/src/target/call-engine.ts
+++ b/src/target/call-engine.ts
@@ -11,9 +11,9 @@
 };
 
 const hopByHopHeaders = new Set(['connection', 'keep-alive', 'transfer-encoding', 'upgrade', 'content-length', 'host', 'te', 'trailer']);
-const neverConnectedCodes = new Set(['ECONNREFUSED', 'UND_ERR_CONNECT_TIMEOUT', 'EHOSTUNREACH']);
+const connectFailureCodes = new Set(['ECONNREFUSED', 'UND_ERR_CONNECT_TIMEOUT', 'EHOSTUNREACH']);
 
-const keepEndToEnd = (headers: Record<string, string | string[] | undefined>): Record<string, string | string[]> =>
+const removeHopByHopHeaders = (headers: Record<string, string | string[] | undefined>): Record<string, string | string[]> =>
 	Object.fromEntries(Object.entries(headers).filter((entry): entry is [string, string | string[]] =>
 		entry[1] !== undefined && !hopByHopHeaders.has(entry[0])));
 
@@ -38,13 +38,13 @@
 		});
 	} catch (error) {
 		const {code, message} = error as NodeJS.ErrnoException;
-		throw neverConnectedCodes.has(code ?? '') ? new EngineRefusal(message) : error;
+		throw connectFailureCodes.has(code ?? '') ? new EngineRefusal(message) : error;
 	}
 
 	execution.addPart({
 		type: 'head',
 		status: answer.statusCode,
-		headers: keepEndToEnd(answer.headers),
+		headers: removeHopByHopHeaders(answer.headers),
 		tableVersion: options.tableVersion(),
 	});
 	for await (const chunk of answer.body) {
--- a/src/target/execution.ts
+++ b/src/target/execution.ts
@@ -44,7 +44,7 @@
 
 	/** Whether a reader has the whole answer. */
 	get isDelivered(): boolean {
-		return this.buffer.isEnded && this.buffer.isRead;
+		return this.buffer.isEnded && this.buffer.isAcknowledged;
 	}
 
 	/** Adds a part of the answer and sends it to each reader. */
--- a/src/target/find-refusal.ts
+++ b/src/target/find-refusal.ts
@@ -14,7 +14,7 @@
 export function findRefusal(request: MessageOf<'request'>, target: TargetState, now: number): MessageOf<'refused'>['reason'] | undefined {
 	const {records, incarnation, isLeaving} = target;
 	const {id, attempt, once} = request;
-	if (records.isBuried(`${id}/${attempt}`) || (once && records.isBuried(once.owner))) {
+	if (records.hasTombstone(`${id}/${attempt}`) || (once && records.hasTombstone(once.owner))) {
 		return 'cancelled';
 	}
 
--- a/src/target/lifecycle.ts
+++ b/src/target/lifecycle.ts
@@ -32,7 +32,7 @@
 	}
 
 	/** Notes that the last running request has ended. */
-	drain(): void {
+	noteDrained(): void {
 		this.service.send('drained');
 	}
 }
--- a/src/target/entry-links.ts
+++ b/src/target/peer-links.ts
@@ -1,6 +1,6 @@
 import {type LinkConnection} from '../link/link-connection.js';
 import {type LinkMessage} from '../link/link-message.js';
-import {linkProtocol} from '../link/link-protocol.js';
+import {linkProtocolVersion} from '../link/link-protocol-version.js';
 import {type MessageOf} from '../link/message-of.js';
 
 type Send = (message: LinkMessage) => boolean;
@@ -17,7 +17,7 @@
 };
 
 /** The links that entries, operators and ranks have opened to a target process. */
-export class EntryLinks {
+export class PeerLinks {
 	private readonly peers = new Map<LinkConnection, Peer>();
 
 	constructor(private readonly options: LinksOptions) {}
@@ -38,7 +38,7 @@
 		const send: Send = message => connection.send(message);
 		connection.onMessage(message => {
 			if (message.type === 'hello') {
-				this.greet(message, connection);
+				this.handleHello(message, connection);
 			} else if (this.peers.has(connection)) {
 				this.options.onMessage(message, send);
 			} else {
@@ -55,21 +55,21 @@
 		});
 	}
 
-	private greet(hello: MessageOf<'hello'>, connection: LinkConnection): void {
-		if (hello.protocol !== linkProtocol) {
+	private handleHello(hello: MessageOf<'hello'>, connection: LinkConnection): void {
+		if (hello.protocol !== linkProtocolVersion) {
 			this.options.warn(`${hello.id} speaks another version of the protocol`);
 			connection.destroy();
 			return;
 		}
 
-		this.dropOlder(hello);
+		this.closeOlderLinks(hello);
 		this.peers.set(connection, {id: hello.id, incarnation: hello.incarnation});
 		this.options.onTableVersion(hello.tableVersion);
 		connection.send(this.options.welcome());
 	}
 
 	/* What an older connection of the same process still holds must not arrive after what it says on this one. */
-	private dropOlder(hello: MessageOf<'hello'>): void {
+	private closeOlderLinks(hello: MessageOf<'hello'>): void {
 		for (const [connection, peer] of this.peers) {
 			if (peer.id === hello.id && peer.incarnation === hello.incarnation) {
 				connection.destroy();
--- a/src/target/record-table.ts
+++ b/src/target/record-table.ts
@@ -1,13 +1,13 @@
 import {type Execution} from './execution.js';
 
-type TableOptions = {
+type RecordTableOptions = {
 	/** Ended requests and tombstones kept at most. */
 	readonly maximum: number;
 	/** Age below which a tombstone or the record of a key is never dropped, milliseconds. */
 	readonly minimumAgeMs: number;
 };
 
-type Stone = {readonly at: number};
+type Timestamped = {readonly at: number};
 
 /**
  * What a target process remembers of requests: those that run, those that ended, and those that must never start.
@@ -18,10 +18,10 @@
 export class RecordTable {
 	private readonly executions = new Map<string, Execution>();
 	private readonly byKey = new Map<string, Execution>();
-	private readonly tombstones = new Map<string, Stone>();
-	private readonly ended = new Map<string, Stone>();
+	private readonly tombstones = new Map<string, Timestamped>();
+	private readonly ended = new Map<string, Timestamped>();
 
-	constructor(private readonly options: TableOptions) {}
+	constructor(private readonly options: RecordTableOptions) {}
 
 	get isFull(): boolean {
 		return this.tombstones.size + this.ended.size >= this.options.maximum;
@@ -53,14 +53,14 @@
 	}
 
 	/** Notes that a request ended; it may be forgotten from now on, oldest first. */
-	end(execution: Execution, now: number): void {
+	noteEnd(execution: Execution, now: number): void {
 		const {id, attempt} = execution.request;
 		this.ended.set(`${id}/${attempt}`, {at: now});
-		this.trim(now);
+		this.evictOld(now);
 	}
 
 	/** Forgets a request that never started. */
-	drop(execution: Execution): void {
+	remove(execution: Execution): void {
 		const {id, attempt, once} = execution.request;
 		this.executions.delete(`${id}/${attempt}`);
 		if (once && this.byKey.get(once.key) === execution) {
@@ -73,8 +73,8 @@
 	 *
 	 * @returns false when there is no room to remember it, so nothing may be promised
 	 */
-	bury(name: string, now: number): boolean {
-		this.trim(now);
+	addTombstone(name: string, now: number): boolean {
+		this.evictOld(now);
 		if (!this.tombstones.has(name) && this.isFull) {
 			return false;
 		}
@@ -83,11 +83,11 @@
 		return true;
 	}
 
-	isBuried(name: string): boolean {
+	hasTombstone(name: string): boolean {
 		return this.tombstones.has(name);
 	}
 
-	private trim(now: number): void {
+	private evictOld(now: number): void {
 		for (const stones of [this.ended, this.tombstones]) {
 			for (const [name, stone] of stones) {
 				const isOld = now - stone.at >= this.options.minimumAgeMs;
@@ -95,26 +95,26 @@
 					break;
 				}
 
-				if (!isOld && !this.mayForget(name)) {
+				if (!isOld && !this.mayEvict(name)) {
 					break;
 				}
 
 				stones.delete(name);
-				this.forget(name);
+				this.evict(name);
 			}
 		}
 	}
 
 	/* An ended request that may be repeated can go at any time; the others only once they are old. */
-	private mayForget(name: string): boolean {
+	private mayEvict(name: string): boolean {
 		const execution = this.executions.get(name);
 		return execution !== undefined && execution.request.once === undefined;
 	}
 
-	private forget(name: string): void {
+	private evict(name: string): void {
 		const execution = this.executions.get(name);
 		if (execution) {
-			this.drop(execution);
+			this.remove(execution);
 		}
 	}
 }
--- a/src/target/request-controller.ts
+++ b/src/target/request-controller.ts
@@ -19,7 +19,7 @@
 	readonly clock: () => number;
 	readonly isLeaving: () => boolean;
 	/** Calls the engine and pushes the answer; rejects when it breaks off. */
-	readonly call: (execution: Execution) => Promise<void>;
+	readonly runOnEngine: (execution: Execution) => Promise<void>;
 	readonly onIdle: () => void;
 };
 
@@ -27,20 +27,20 @@
 export class RequestController {
 	private readonly waiting = new Map<string, {execution: Execution; send: Send}>();
 	/** Requests that run, or whose answer has not been read to its end. */
-	private readonly live = new Set<Execution>();
+	private readonly active = new Set<Execution>();
 
 	constructor(private readonly options: ControllerOptions) {}
 
 	/** Whether no request waits or runs and no answer is still to be read. */
 	get isIdle(): boolean {
-		return this.waiting.size === 0 && this.live.size === 0;
+		return this.waiting.size === 0 && this.active.size === 0;
 	}
 
 	/** Handles a message of an entry; `send` answers on the same link. */
 	receive(message: LinkMessage, send: Send, now: number): void {
 		switch (message.type) {
 			case 'request': {
-				this.takeRequest(message, send, now);
+				this.handleRequest(message, send, now);
 				break;
 			}
 
@@ -69,8 +69,8 @@
 	}
 
 	/** Notes that a link was lost; its answers are kept for a while. */
-	loseLink(send: Send, now: number): void {
-		for (const execution of [...this.live, ...[...this.waiting.values()].map(waiting => waiting.execution)]) {
+	handleLostLink(send: Send, now: number): void {
+		for (const execution of [...this.active, ...[...this.waiting.values()].map(waiting => waiting.execution)]) {
 			execution.removeReaders(reader => reader.send === send, now);
 		}
 	}
@@ -81,18 +81,18 @@
 			this.refuseWaiting(id, 'late', now);
 		}
 
-		for (const execution of this.live) {
-			this.endUnread(execution, now);
+		for (const execution of this.active) {
+			this.expireUnread(execution, now);
 		}
 
 		this.startWaiting(now);
 		this.notifyIdle();
 	}
 
-	private endUnread(execution: Execution, now: number): void {
+	private expireUnread(execution: Execution, now: number): void {
 		if (execution.state === 'done') {
 			if (now - execution.endedAt > this.options.resumeMs) {
-				this.live.delete(execution);
+				this.active.delete(execution);
 			}
 
 			return;
@@ -108,12 +108,12 @@
 		const execution = this.options.records.get(id, attempt);
 		execution?.acknowledge(sequence);
 		if (execution?.state === 'done' && execution.isDelivered) {
-			this.live.delete(execution);
+			this.active.delete(execution);
 			this.notifyIdle();
 		}
 	}
 
-	private takeRequest(request: MessageOf<'request'>, send: Send, now: number): void {
+	private handleRequest(request: MessageOf<'request'>, send: Send, now: number): void {
 		const {records} = this.options;
 		if (records.get(request.id, request.attempt)) {
 			return;
@@ -127,7 +127,7 @@
 		}
 
 		const execution = new Execution({request, replayBytes: this.options.replayBytes, arrivedAt: now});
-		const verdict = this.options.queue.offer({
+		const decision = this.options.queue.offer({
 			id: `${request.id}/${request.attempt}`,
 			organisation: request.organisation,
 			weight: request.weight,
@@ -136,14 +136,14 @@
 			deadline: now + request.timeoutMs,
 			mayWait: request.mayWait,
 		}, now);
-		if (verdict.kind === 'refuse') {
-			this.refuse(request, send, verdict.reason, now, verdict.retryAfterMs);
+		if (decision.kind === 'refuse') {
+			this.refuse(request, send, decision.reason, now, decision.retryAfterMs);
 			return;
 		}
 
 		records.add(execution);
 		execution.addReader({id: request.id, attempt: request.attempt, send}, 0);
-		if (verdict.kind === 'start') {
+		if (decision.kind === 'start') {
 			this.start(execution, send, now);
 		} else {
 			this.waiting.set(`${request.id}/${request.attempt}`, {execution, send});
@@ -154,7 +154,7 @@
 	private refuse(request: MessageOf<'request'>, send: Send, reason: Reason, now: number, retryAfterMs = 0): void {
 		const {once, id, attempt} = request;
 		const known = once && this.options.records.getByKey(once.key);
-		const isFinal = reason === 'cancelled' || reason === 'duplicate' || !once || this.options.records.bury(once.owner, now);
+		const isFinal = reason === 'cancelled' || reason === 'duplicate' || !once || this.options.records.addTombstone(once.owner, now);
 		if (!isFinal) {
 			send({
 				type: 'broken', id, attempt, sequence: 0, reason: 'no room to remember a refusal',
@@ -163,14 +163,14 @@
 		}
 
 		send({
-			type: 'refused', id, attempt, reason, retryAfterMs, record: known ? describe(known) : 'absent',
+			type: 'refused', id, attempt, reason, retryAfterMs, record: known ? getRecordState(known) : 'absent',
 		});
 	}
 
 	private cancel({id, attempt}: MessageOf<'cancel'>, send: Send, now: number): void {
 		const execution = this.options.records.get(id, attempt);
 		if (!execution) {
-			const started = !this.options.records.bury(`${id}/${attempt}`, now);
+			const started = !this.options.records.addTombstone(`${id}/${attempt}`, now);
 			send({
 				type: 'cancelled', id, attempt, started,
 			});
@@ -179,7 +179,7 @@
 
 		const isWaiting = this.options.queue.remove(`${id}/${attempt}`);
 		if (isWaiting) {
-			this.forgetWaiting(execution, now);
+			this.removeWaiting(execution, now);
 		} else {
 			execution.abort.abort();
 		}
@@ -201,8 +201,8 @@
 			return;
 		}
 
-		const isProved = !execution && this.options.records.bury(`${id}/${attempt}`, now);
-		send(isProved
+		const isRecorded = !execution && this.options.records.addTombstone(`${id}/${attempt}`, now);
+		send(isRecorded
 			? {
 				type: 'refused', id, attempt, reason: 'unknown-call', retryAfterMs: 0,
 			}
@@ -220,13 +220,13 @@
 
 		if (execution) {
 			send({
-				type: 'refused', id, attempt, reason: 'duplicate', retryAfterMs: 0, record: describe(execution),
+				type: 'refused', id, attempt, reason: 'duplicate', retryAfterMs: 0, record: getRecordState(execution),
 			});
 			return;
 		}
 
-		const isProved = this.options.records.bury(owner, now);
-		send(isProved
+		const isRecorded = this.options.records.addTombstone(owner, now);
+		send(isRecorded
 			? {
 				type: 'refused', id, attempt, reason: 'unknown-call', retryAfterMs: 0, record: 'absent',
 			}
@@ -238,21 +238,21 @@
 	private start(execution: Execution, send: Send, now: number): void {
 		execution.state = 'running';
 		execution.startedAt = now;
-		this.live.add(execution);
+		this.active.add(execution);
 		void this.run(execution, send);
 	}
 
 	private async run(execution: Execution, send: Send): Promise<void> {
 		const {request} = execution;
 		try {
-			await this.options.call(execution);
+			await this.options.runOnEngine(execution);
 			this.finish(execution);
 		} catch (error) {
 			const now = this.options.clock();
 			this.finish(execution);
 			if (error instanceof EngineRefusal) {
-				this.live.delete(execution);
-				this.options.records.drop(execution);
+				this.active.delete(execution);
+				this.options.records.remove(execution);
 				this.refuse(request, send, 'unavailable', now);
 			} else {
 				execution.addPart({type: 'broken', reason: (error as Error).message});
@@ -269,7 +269,7 @@
 		execution.state = 'done';
 		execution.endedAt = now;
 		this.options.queue.finish(`${id}/${attempt}`, now - execution.startedAt);
-		this.options.records.end(execution, now);
+		this.options.records.noteEnd(execution, now);
 	}
 
 	private startWaiting(now: number): void {
@@ -287,15 +287,15 @@
 
 	private refuseWaiting(name: string, reason: Reason, now: number): void {
 		const {execution, send} = this.waiting.get(name)!;
-		this.forgetWaiting(execution, now);
+		this.removeWaiting(execution, now);
 		this.refuse(execution.request, send, reason, now);
 	}
 
-	private forgetWaiting(execution: Execution, now: number): void {
+	private removeWaiting(execution: Execution, now: number): void {
 		const {id, attempt, once} = execution.request;
 		this.waiting.delete(`${id}/${attempt}`);
-		this.options.records.drop(execution);
-		this.options.records.bury(once?.owner ?? `${id}/${attempt}`, now);
+		this.options.records.remove(execution);
+		this.options.records.addTombstone(once?.owner ?? `${id}/${attempt}`, now);
 		this.notifyIdle();
 	}
 
@@ -306,6 +306,6 @@
 	}
 }
 
-function describe(execution: Execution): 'running' | 'done' {
+function getRecordState(execution: Execution): 'running' | 'done' {
 	return execution.state === 'done' ? 'done' : 'running';
 }
--- a/src/target/start-target.ts
+++ b/src/target/start-target.ts
@@ -3,8 +3,8 @@
 import {type TargetSettings} from '../config/target-settings.js';
 import {connectLink} from '../link/connect-link.js';
 import {type LinkMessage} from '../link/link-message.js';
-import {linkProtocol} from '../link/link-protocol.js';
-import {listenLink} from '../link/listen-link.js';
+import {linkProtocolVersion} from '../link/link-protocol-version.js';
+import {listenForLinks} from '../link/listen-for-links.js';
 import {type MessageOf} from '../link/message-of.js';
 import {getLogger} from '../log/get-logger.js';
 import {GroupMember} from '../map-switch/group-member.js';
@@ -17,19 +17,19 @@
 import {traceHop} from '../tracing/trace-hop.js';
 import {writeTraceParent} from '../tracing/write-trace-parent.js';
 import {callEngine} from './call-engine.js';
-import {EntryLinks} from './entry-links.js';
+import {PeerLinks} from './peer-links.js';
 import {Lifecycle} from './lifecycle.js';
 import {RecordTable} from './record-table.js';
 import {RequestController} from './request-controller.js';
 import {type RunningTarget} from './running-target.js';
 
 const logger = getLogger('target');
-const tombstoneAgeMs = 600_000;
+const minimumTombstoneAgeMs = 600_000;
 /** Time between two load reports. Since a busy target refuses at once, older reports cost little and fewer save bytes. */
-const reportMs = 8000;
-const tickMs = 100;
+const loadReportIntervalMs = 8000;
+const tickIntervalMs = 100;
 /** Longest wait for a peer to take the last bytes of a link, milliseconds. */
-const closeMs = 2000;
+const closeTimeoutMs = 2000;
 
 /** Starts a target process: the links to entries, the controllers, and the admin server. */
 export async function startTarget(settings: TargetSettings, clock: () => number): Promise<RunningTarget> {
@@ -44,7 +44,7 @@
 		resolveStopped = resolve;
 	});
 
-	const describeLoad = (): MessageOf<'load'>['load'] => ({
+	const getLoad = (): MessageOf<'load'>['load'] => ({
 		running: queue.running,
 		waiting: queue.waiting,
 		concurrency: settings.admission.concurrency,
@@ -58,7 +58,7 @@
 		if (lifecycle.state === 'leaving') {
 			stopTimer = setTimeout(() => {
 				logger.warn('what still runs is cut off, the longest wait is over');
-				lifecycle.drain();
+				lifecycle.noteDrained();
 				void close();
 			}, settings.stopMs);
 		}
@@ -71,12 +71,12 @@
 	const requests = new RequestController({
 		incarnation,
 		queue,
-		records: new RecordTable({maximum: settings.records.maximum, minimumAgeMs: tombstoneAgeMs}),
+		records: new RecordTable({maximum: settings.records.maximum, minimumAgeMs: minimumTombstoneAgeMs}),
 		replayBytes: settings.records.replayBytes,
 		resumeMs: settings.records.resumeMs,
 		clock,
 		isLeaving: () => lifecycle.state !== 'serving',
-		async call(execution) {
+		async runOnEngine(execution) {
 			const {headers} = execution.request;
 			const span = startSpan(tracer, 'target', headers, execution.arrivedAt);
 			await traceHop(tracer, 'engine', span, async engineSpan => {
@@ -91,32 +91,32 @@
 
 	function drainIfIdle(): void {
 		if (lifecycle.state === 'leaving' && requests.isIdle) {
-			lifecycle.drain();
+			lifecycle.noteDrained();
 			void close();
 		}
 	}
 
-	const noteVersion = (version: number): void => {
+	const noteTableVersion = (version: number): void => {
 		tableVersion = Math.max(tableVersion, version);
 		metrics.tableVersion.set(tableVersion);
 	};
 
-	const links = new EntryLinks({
+	const links = new PeerLinks({
 		welcome: () => ({
 			type: 'welcome',
-			protocol: linkProtocol,
+			protocol: linkProtocolVersion,
 			id: settings.id,
 			availabilityZone: settings.availabilityZone,
 			incarnation,
 			tableVersion,
 			leaving: lifecycle.state !== 'serving',
 			service: settings.service,
-			load: describeLoad(),
+			load: getLoad(),
 		}),
-		onTableVersion: noteVersion,
+		onTableVersion: noteTableVersion,
 		onMessage: handle,
 		onLost(send) {
-			requests.loseLink(send, clock());
+			requests.handleLostLink(send, clock());
 		},
 		warn(message) {
 			logger.warn(message);
@@ -126,7 +126,7 @@
 	function handle(message: LinkMessage, send: (message: LinkMessage) => boolean): void {
 		switch (message.type) {
 			case 'heartbeat': {
-				noteVersion(message.tableVersion);
+				noteTableVersion(message.tableVersion);
 				break;
 			}
 
@@ -142,7 +142,7 @@
 
 			default: {
 				if (message.type === 'request') {
-					noteVersion(message.tableVersion);
+					noteTableVersion(message.tableVersion);
 				}
 
 				requests.receive(message, send, clock());
@@ -172,7 +172,7 @@
 				meter: metrics.meterLink,
 			}),
 			hello: () => ({
-				type: 'hello', protocol: linkProtocol, id: settings.id, role: 'target', availabilityZone: settings.availabilityZone, incarnation, tableVersion,
+				type: 'hello', protocol: linkProtocolVersion, id: settings.id, role: 'target', availabilityZone: settings.availabilityZone, incarnation, tableVersion,
 			}),
 			clock,
 			random: Math.random,
@@ -181,7 +181,7 @@
 			},
 		});
 
-	const listener = await listenLink({
+	const listener = await listenForLinks({
 		address: settings.address,
 		port: settings.linkPort,
 		key: settings.link.key,
@@ -195,7 +195,7 @@
 		},
 	});
 	const getStatus: RunningTarget['getStatus'] = () => ({
-		id: settings.id, service: settings.service, state: lifecycle.state, incarnation, tableVersion, load: describeLoad(), links: links.size,
+		id: settings.id, service: settings.service, state: lifecycle.state, incarnation, tableVersion, load: getLoad(), links: links.size,
 	});
 	const admin = await startAdminServer({
 		address: settings.address,
@@ -208,19 +208,19 @@
 	});
 	const ticker = setInterval(() => {
 		requests.tick(clock());
-	}, tickMs);
+	}, tickIntervalMs);
 	const reporter = setInterval(() => {
 		metrics.measureControl(() => {
-			links.broadcast({type: 'load', load: describeLoad(), tableVersion});
+			links.broadcast({type: 'load', load: getLoad(), tableVersion});
 		});
-	}, reportMs);
+	}, loadReportIntervalMs);
 
 	async function close(): Promise<void> {
 		member?.close();
 		clearInterval(ticker);
 		clearInterval(reporter);
 		// The last parts of answers leave before the links do.
-		await listener.drain(closeMs);
+		await listener.drain(closeTimeoutMs);
 		admin.close();
 		await dispatcher.close();
 		resolveStopped();
