--- a/src/calls/call.ts
+++ b/src/calls/call.ts
@@ -1,14 +1,14 @@
 import {type LinkMessage} from '../link/link-message.js';
 import {type CallEvent} from './call-event.js';
 
-/** Parts after which the reader's progress is told to the target. */
+/** Consumed parts after which the next acknowledgement is sent to the target. */
 const acknowledgeIntervalParts = 8;
 
 /**
- * One attempt of a request at one target, as its entry sees it.
+ * One attempt of a request at one target, on the entry's side.
  *
- * Parts of the answer come out in sequence and once each, whatever the link did: an older part is dropped, and a
- * gap makes the call ask for the missing part.
+ * Parts of the answer are emitted in sequence and once each, also after the link was lost: a part that came before is
+ * dropped, and after a gap the target is asked to resume at the missing part.
  */
 export class Call {
 	private readonly events: CallEvent[] = [];
@@ -20,22 +20,22 @@
 
 	/**
 	 * @param id - id of the request
-	 * @param attempt - number of the attempt; an answer to another attempt is not ours
-	 * @param send - sends a message to the target, if there is a link
+	 * @param attempt - number of the attempt; answers to other attempts do not belong to this call
+	 * @param send - sends a message to the target; false when there is no link
 	 */
 	constructor(readonly id: string, readonly attempt: number, private readonly send: (message: LinkMessage) => boolean) {}
 
-	/** Sequence number of the next part that is missing. */
+	/** Sequence number of the first part that has not arrived. */
 	get missingSequence(): number {
 		return this.nextSequence;
 	}
 
-	/** Whether the call has ended; nothing more comes. */
+	/** Whether the call has ended; no event follows those already received. */
 	get isEnded(): boolean {
 		return this.isSettled;
 	}
 
-	/** Takes a message of the target for this call. */
+	/** Handles a message from the target for this call. */
 	receive(message: LinkMessage): void {
 		switch (message.type) {
 			case 'head':
@@ -56,7 +56,7 @@
 		}
 	}
 
-	/** Ends the call with something other than an answer. */
+	/** Ends the call with an event that is not part of an answer; ignored when the call has ended. */
 	settle(event: CallEvent): void {
 		if (this.isSettled) {
 			return;
@@ -66,7 +66,7 @@
 		this.emit(event);
 	}
 
-	/** Waits for the next event. */
+	/** Waits for the next event and marks it as consumed. There may be only one reader. */
 	async nextEvent(): Promise<CallEvent> {
 		const event = this.events.shift() ?? await new Promise<CallEvent>(resolve => {
 			this.waiter = resolve;
@@ -102,7 +102,7 @@
 		}
 	}
 
-	/* A part counts as taken once the reader comes for the next: until then the target holds back the engine. */
+	/* Acknowledges parts that the reader has consumed. The target stops reading from its engine while too many bytes are unacknowledged. */
 	private acknowledge(event: CallEvent): void {
 		if (!('sequence' in event)) {
 			return;
--- a/src/calls/target-link.ts
+++ b/src/calls/target-link.ts
@@ -11,11 +11,11 @@
 	readonly hello: () => MessageOf<'hello'>;
 	readonly clock: () => number;
 	readonly random: () => number;
-	/** How long calls wait for a lost link to come back, milliseconds. */
+	/** How long calls wait for a lost link to reconnect, milliseconds. */
 	readonly resumeMs: number;
-	/** Called with the expert loads that the target reported. */
+	/** Called with expert loads that the target reports. */
 	readonly onExpertLoads: (message: MessageOf<'map-loads'>) => void;
-	/** Called when a message or answer names a version of the table. */
+	/** Called with the table version in a message of the target. */
 	readonly onTableVersion: (version: number) => void;
 };
 
@@ -26,16 +26,16 @@
 	running: 0, waiting: 0, concurrency: 1, serviceMs: 0,
 };
 
-/** The link to one target process: what the target last said of itself, and the calls that run there. */
+/** The link to one target process, the state that the target last reported, and the open calls to it. */
 export class TargetLink {
 	readonly vm: Vm;
-	/** Load as last reported. */
+	/** Load as last reported; zero before the first report. */
 	load: Load = unknownLoad;
 	/** When the load was reported, milliseconds since the epoch; 0: never. */
 	loadAt = 0;
-	/** Requests sent since that report. */
+	/** Requests sent since the load was reported. */
 	sentSinceReport = 0;
-	/** The target said that it takes nothing new. */
+	/** Whether the target has reported that it accepts no new requests. */
 	isLeaving = false;
 	/** When a request was last sent, milliseconds since the epoch. */
 	lastUsedAt = 0;
@@ -65,16 +65,17 @@
 		return this.welcome !== undefined && this.disconnectedAt === undefined && this.link.current !== undefined;
 	}
 
-	/** The process behind the link; another one after a restart. */
+	/** Incarnation of the target process, which changes when it restarts; undefined before the first welcome. */
 	get incarnation(): string | undefined {
 		return this.welcome?.incarnation;
 	}
 
+	/** Number of calls that have not been released. */
 	get openCalls(): number {
 		return this.calls.size;
 	}
 
-	/** Sends a request as a new call. A call whose request never left ends with `unsent`. */
+	/** Sends a request as a new call. If there is no link to send it on, the call ends with `unsent`. */
 	request(message: MessageOf<'request'> | MessageOf<'attach'>): Call {
 		const call = new Call(message.id, message.attempt, reply => this.link.current?.send(reply) ?? false);
 		const name = `${message.id}/${message.attempt}`;
@@ -89,12 +90,12 @@
 		return call;
 	}
 
-	/** Asks the target to give a call up; its answer comes as an event of the call. */
+	/** Asks the target to cancel a call; the reply arrives as an event of the call. */
 	cancel(call: Call): void {
 		this.link.current?.send({type: 'cancel', id: call.id, attempt: call.attempt});
 	}
 
-	/** Forgets a call whose maker has all it wants. */
+	/** Removes a call that is no longer read. */
 	release(call: Call): void {
 		this.calls.delete(`${call.id}/${call.attempt}`);
 	}
@@ -104,18 +105,19 @@
 		return this.link.current?.send(message) ?? false;
 	}
 
-	/** Gives calls up whose link has been away for too long. */
+	/** Fails all calls when the link has been lost for longer than `resumeMs`. */
 	tick(now: number): void {
 		if (this.disconnectedAt !== undefined && now - this.disconnectedAt > this.options.resumeMs) {
 			this.failCalls('the link to the target did not come back in time');
 		}
 	}
 
-	/** Cuts the connection at once; the task connects again. */
+	/** Closes the connection at once; the link then reconnects. */
 	disconnect(): void {
 		this.link.disconnect();
 	}
 
+	/** Closes the link for good and fails its calls. */
 	close(): void {
 		this.link.close();
 		this.failCalls('the link was closed');
--- a/src/calls/target-pool.ts
+++ b/src/calls/target-pool.ts
@@ -10,35 +10,36 @@
 type PoolOptions = {
 	readonly id: string;
 	readonly availabilityZone: string;
-	/** Targets of one service that links are kept to. */
+	/** Number of targets of a service that links are kept open to. */
 	readonly subsetSize: number;
 	readonly openLink: (vm: Vm) => TargetLink;
 };
 
 type Choice = RoutingRequest & {
 	readonly service: string;
-	/** Targets that have refused or lost this request already. */
+	/** Targets that have already refused or lost this request. */
 	readonly excluded: ReadonlySet<string>;
 	readonly now: number;
 };
 
+/** A service's listed targets, and the subset that links are kept open to. */
 type Service = {readonly kind: 'model' | 'plain'; vms: Vm[]; subset: Vm[]};
 type PooledLink = {readonly link: TargetLink; readonly circuit: Circuit; readonly hash: number};
 
-/** Share of a service's targets that may be kept out for failing; the rest are used whatever they did. */
+/** Share of a service's ready targets that open circuits may exclude; beyond it, failing targets are used all the same. */
 const maximumExcludedShare = 1 / 3;
 
-/* Keeps out the targets that fail, those that failed for longest first, up to the share. */
+/* Excludes targets whose circuit is open, those that stay open the longest first, up to the maximum share. */
 const excludeFailing = (ready: readonly PooledLink[], now: number): PooledLink[] => {
 	const open = ready.filter(({circuit}) => circuit.isOpen(now)).toSorted((one, other) => other.circuit.openUntil - one.circuit.openUntil);
 	const out = new Set(open.slice(0, Math.floor(ready.length * maximumExcludedShare)));
 	return ready.filter(pooled => !out.has(pooled));
 };
 
-/** A link outside the subset that was not used for this long is closed, milliseconds. */
+/** Time without a request after which a link outside the subset is closed, milliseconds. */
 const idleTimeoutMs = 60_000;
 
-/** The targets that this entry knows, and its links to a subset of them. */
+/** The listed targets of all services, and this entry's links to a subset of them. */
 export class TargetPool {
 	private readonly services = new Map<string, Service>();
 	private readonly links = new Map<string, PooledLink>();
@@ -46,7 +47,7 @@
 
 	constructor(private readonly options: PoolOptions) {}
 
-	/** Takes the platform's list. A target that it calls leaving is still the judge of that itself. */
+	/** Replaces the listed targets by those of the platform's VM list. Whether a target is leaving is taken from its link, not from the list. */
 	updateVms(vms: readonly Vm[], now: number): void {
 		this.vms.clear();
 		for (const service of this.services.values()) {
@@ -71,23 +72,23 @@
 		this.tick(now);
 	}
 
-	/** The kind of a service; undefined when no target of it was ever listed. */
+	/** Returns the kind of a service; undefined when no target of it was ever listed. */
 	getKind(service: string): 'model' | 'plain' | undefined {
 		return this.services.get(service)?.kind;
 	}
 
-	/** Every link with its state, for `status`. */
+	/** Lists all links of the pool, also those that are not ready. */
 	list(): TargetLink[] {
 		return [...this.links.values()].map(({link}) => link);
 	}
 
-	/** The link to a target, opened if need be; undefined when the target is not listed. */
+	/** Returns the link to a target, which is opened if necessary; undefined when the target is not listed and has no link. */
 	get(id: string): TargetLink | undefined {
 		const vm = this.vms.get(id);
 		return this.links.get(id)?.link ?? (vm && this.open(vm).link);
 	}
 
-	/** Chooses the target of a request; undefined when none can take it now. */
+	/** Chooses a target for a request; undefined when none is ready now. Then a further target is added to the subset. */
 	choose(choice: Choice): TargetLink | undefined {
 		const service = this.services.get(choice.service);
 		if (!service) {
@@ -108,7 +109,7 @@
 		return pooled?.link;
 	}
 
-	/** Notes how a target did, for its circuit. */
+	/** Records a success or failure of a target for its circuit breaker. */
 	noteResult(id: string, isGood: boolean, now: number): void {
 		const circuit = this.links.get(id)?.circuit;
 		if (isGood) {
@@ -118,7 +119,7 @@
 		}
 	}
 
-	/** Lets each link see the time, and closes those that are of no more use. */
+	/** Checks each link's time-outs, and closes links that are idle outside the subset or whose target is gone. */
 	tick(now: number): void {
 		const picked = new Set([...this.services.values()].flatMap(service => service.subset.map(({id}) => id)));
 		for (const [id, {link}] of this.links) {
@@ -132,13 +133,14 @@
 		}
 	}
 
+	/** Closes every link. */
 	close(): void {
 		for (const {link} of this.links.values()) {
 			link.close();
 		}
 	}
 
-	/* A target that vanished from the list is kept while its link lives: the list lags, and may be cut off. */
+	/* A target that is no longer listed stays in the subset while its link is ready: the VM list lags behind and may be truncated. */
 	private updateSubset(service: Service): void {
 		const {id, availabilityZone, subsetSize} = this.options;
 		const listed = new Set(service.vms.map(vm => vm.id));
--- a/src/entry/entry-controller.ts
+++ b/src/entry/entry-controller.ts
@@ -31,14 +31,16 @@
 	readonly log: (message: string) => void;
 };
 
+/** Interval of the controller's timer, milliseconds. */
 const tickIntervalMs = 250;
+/** Interval of heartbeats to peers, milliseconds. */
 const heartbeatIntervalMs = 2000;
-/** Entries of a zone that watch the platform for all of it. */
+/** Entries of an availability zone that watch the platform's store on behalf of the zone. */
 const watchersPerZone = 2;
-/** How long a starting entry waits to hear of newer tables before it is ready, milliseconds. */
+/** How long a starting entry waits for a peer to announce a newer table before it is ready, milliseconds. */
 const settleTimeoutMs = 1500;
 
-/** The control work of an entry: heartbeats, the list of VMs, the table's spread, limits, and what `status` shows. */
+/** The control plane of an entry: heartbeats, the VM list, distribution of the table, limits, and the document of `/status`. */
 export class EntryController {
 	private vmList: VmList | undefined;
 	private vmListAt = 0;
@@ -51,13 +53,14 @@
 
 	constructor(private readonly options: ControllerOptions) {}
 
-	/** Whether callers may be sent here: a table is in force, and peers had their chance to name a newer one. */
+	/** Whether callers may be sent here: a table is in force, and a peer has answered or the settle time-out has passed. */
 	get isReady(): boolean {
 		const {table, clock, membership} = this.options;
 		const hasSettled = this.hasPeerAnswered || membership.listPeers().length === 0 || clock() - this.startedAt > settleTimeoutMs;
 		return !this.isLeaving && table.current !== undefined && hasSettled;
 	}
 
+	/** Reads the VM list and starts the timer. */
 	async start(): Promise<void> {
 		this.startedAt = this.options.clock();
 		await this.refreshVmList();
@@ -69,16 +72,17 @@
 		}, tickIntervalMs);
 	}
 
-	/** Tells the balancer before this entry, by `/readyz`, to send no more callers. */
+	/** Makes `/readyz` fail, so that the load balancer in front of this entry sends no more callers. */
 	startLeaving(): void {
 		this.isLeaving = true;
 	}
 
+	/** Stops the timer. */
 	close(): void {
 		clearInterval(this.timer);
 	}
 
-	/** Tells every open peer and target of the version in force, at once. */
+	/** Sends the table version in force to every connected peer and target at once. */
 	broadcastTableVersion(): void {
 		const heartbeat = this.makeHeartbeat();
 		this.options.peers.broadcast(heartbeat);
@@ -87,33 +91,33 @@
 		}
 	}
 
-	/** Learns that an entry has opened a link; one that is not known yet is looked up at once. */
+	/** Notes that an entry has opened a link; for an unknown entry the VM list is read at the next tick. */
 	noteEntryHello(id: string): void {
 		if (this.options.membership.getVm(id) === undefined) {
 			this.nextVmListAt = 0;
 		}
 	}
 
-	/** Learns of a table version from a target; asks a peer of the zone for it. */
+	/** Notes a table version that a target reported; if it is newer, peers are asked for that table. */
 	noteTableVersion(version: number): void {
 		const {table, clock, membership, peers} = this.options;
 		const now = clock();
-		const wish = table.noteVersion(version, '', now);
-		if (!wish) {
+		const request = table.noteVersion(version, '', now);
+		if (!request) {
 			return;
 		}
 
 		for (const vm of membership.pickPeers(now)) {
-			peers.send(vm, wish);
+			peers.send(vm, request);
 		}
 	}
 
-	/** Takes expert loads that rank 0 of a group reported. */
+	/** Passes on expert loads that rank 0 of a group reported. */
 	noteExpertLoads(message: MessageOf<'map-loads'>): void {
 		void this.options.groups.noteExpertLoads(message, this.options.clock());
 	}
 
-	/** Handles a message of another entry, or of an operator. */
+	/** Handles a message from another entry or an operator; `sender` is its id, empty for a link that this entry opened. */
 	receive(message: LinkMessage, send: Send, sender: string): void {
 		const {limits, table} = this.options;
 		const now = this.options.clock();
@@ -125,9 +129,9 @@
 
 			case 'welcome': {
 				this.hasPeerAnswered = true;
-				const wish = table.noteVersion(message.tableVersion, '', now);
-				if (wish) {
-					send(wish);
+				const request = table.noteVersion(message.tableVersion, '', now);
+				if (request) {
+					send(request);
 				}
 
 				break;
@@ -161,7 +165,7 @@
 		}
 	}
 
-	/** The document of `/status`. */
+	/** Makes the document of `/status`. */
 	getStatus(): unknown {
 		const {id, availabilityZone, membership, table, targets, clock} = this.options;
 		const now = clock();
@@ -235,21 +239,21 @@
 		const {membership, table} = this.options;
 		this.hasPeerAnswered = true;
 		membership.hear(heartbeat, now);
-		const wish = table.noteVersion(heartbeat.tableVersion, heartbeat.changeId, now);
-		if (wish) {
-			send(wish);
+		const request = table.noteVersion(heartbeat.tableVersion, heartbeat.changeId, now);
+		if (request) {
+			send(request);
 		} else if (heartbeat.tableVersion < table.version) {
 			send(this.makeHeartbeat());
 		}
 	}
 
-	/* A bucket's name says which row holds its limit; both sides read it from the table in force. */
-	private handleBorrow(wish: MessageOf<'borrow'>, send: Send, borrower: string, now: number): void {
-		const [kindText, service, organisation] = wish.bucket.split('/');
+	/* A bucket's name is KIND/SERVICE/ORGANISATION; its limit is that of the row in the table in force. */
+	private handleBorrow(request: MessageOf<'borrow'>, send: Send, borrower: string, now: number): void {
+		const [kindText, service, organisation] = request.bucket.split('/');
 		const kind = LimitKind.safeParse(kindText);
 		const value = kind.success ? this.options.table.current?.findRow(service, organisation, '*')?.[kind.data] : undefined;
 		if (kind.success && value !== undefined) {
-			send(this.options.limits.lend(wish, borrower, {kind: kind.data, value}, now));
+			send(this.options.limits.lend(request, borrower, {kind: kind.data, value}, now));
 		}
 	}
 
--- a/src/entry/group-planners.ts
+++ b/src/entry/group-planners.ts
@@ -12,18 +12,19 @@
 	readonly keyValue: KeyValue;
 	readonly membership: Membership;
 	readonly targets: TargetPool;
+	/** Interval between plans, milliseconds. */
 	readonly intervalMs: number;
 	readonly getRow: (service: string, group: string) => Row | undefined;
 	readonly log: (message: string) => void;
 };
 
-/** The groups of ranks that this entry plans for: those whose first entry by rendezvous hashing it is. */
+/** The planners of the groups of ranks for which this entry ranks first by rendezvous hashing. */
 export class GroupPlanners {
 	private readonly planners = new Map<string, GroupPlanner>();
 
 	constructor(private readonly options: GroupPlannersOptions) {}
 
-	/** Lets the planner of each group that falls to this entry see the time. */
+	/** Runs the planner of each group that this entry plans for. */
 	tick(now: number, vms: readonly Vm[]): void {
 		const live = this.options.membership.listLive(now);
 		for (const vm of vms) {
@@ -38,11 +39,12 @@
 		}
 	}
 
+	/** Passes expert loads to the planner of their group, if this entry has one. */
 	async noteExpertLoads(message: MessageOf<'map-loads'>, now: number): Promise<void> {
 		await this.planners.get(message.group)?.takeLoads(message, now);
 	}
 
-	/** Why the map of a group was last changed or left; undefined when another entry plans for it. */
+	/** Returns the last decision on a group's map, for `/explain`; undefined when this entry never planned for the group. */
 	explain(group: string): unknown {
 		const planner = this.planners.get(group);
 		return planner && {group, decision: planner.lastDecision};
--- a/src/entry/limit-owner-finder.ts
+++ b/src/entry/limit-owner-finder.ts
@@ -1,16 +1,18 @@
 import {type Membership} from '../membership/membership.js';
 import {rankByRendezvous} from '../routing/rank-by-rendezvous.js';
 
-/** How long a home that was found is not looked for again, milliseconds. */
+/** How long a result is cached, milliseconds. */
 const cacheMs = 1000;
+/** Cached results at most; above it the cache is cleared. */
 const maximumCached = 10_000;
 
-/** Finds the entry that is home to a limit, among those that are heard. */
+/** Finds the live entry that owns a limit's bucket, by rendezvous hashing. */
 export class LimitOwnerFinder {
 	private readonly owners = new Map<string, {readonly home: string; readonly foundAt: number}>();
 
 	constructor(private readonly membership: Membership, private readonly clock: () => number) {}
 
+	/** @returns id of the entry that owns the bucket `name` */
 	findOwner(name: string): string {
 		const now = this.clock();
 		const cached = this.owners.get(name);
--- a/src/entry/request-server.ts
+++ b/src/entry/request-server.ts
@@ -27,13 +27,13 @@
 	readonly metrics: ProcessMetrics;
 	readonly explanations: Explanations;
 	readonly tableVersion: () => number;
-	/** Filters for requests, from the first after the body was read. */
+	/** Filters for requests, after the one that reads the body. */
 	readonly filters: readonly Filter[];
 	/** Filters for `POST /tickets`. */
 	readonly ticketFilters: readonly Filter[];
 };
 
-/** The HTTP server for callers: turns each request into an exchange and sends it through the filters. */
+/** The HTTP server for callers: makes an exchange of each request and runs it through the filters. */
 export class RequestServer {
 	private readonly server: Server;
 	private openCount = 0;
@@ -51,20 +51,23 @@
 		this.server.on('request', app.handler);
 	}
 
+	/** TCP port in use, also when port 0 was asked for. */
 	get port(): number {
 		return (this.server.address() as AddressInfo).port;
 	}
 
+	/** Number of requests that are still being handled. */
 	get openRequests(): number {
 		return this.openCount;
 	}
 
+	/** Starts to accept connections. */
 	async listen(): Promise<void> {
 		this.server.listen(this.options.port, this.options.address);
 		await once(this.server, 'listening');
 	}
 
-	/** Takes no more connections, and waits until every open request has its answer. */
+	/** Accepts no more connections, and waits until every open request has ended. */
 	async drain(): Promise<void> {
 		this.server.close();
 		if (this.openCount > 0) {
@@ -76,7 +79,7 @@
 		this.server.closeIdleConnections();
 	}
 
-	/** Cuts every connection. */
+	/** Closes every connection at once. */
 	close(): void {
 		this.server.close();
 		this.server.closeAllConnections();
--- a/src/entry/running-entry.ts
+++ b/src/entry/running-entry.ts
@@ -1,19 +1,19 @@
 import {type TableSnapshot} from '../table/table-snapshot.js';
 
-/** An entry process that has started. */
+/** Handle of a started entry process. */
 export type RunningEntry = {
 	readonly httpPort: number;
 	readonly linkPort: number;
 	readonly adminPort: number;
-	/** The table in force here. */
+	/** Returns the table in force at this entry, if there is one. */
 	readonly getTable: () => TableSnapshot | undefined;
 	readonly isReady: () => boolean;
-	/** Document of `/status`. */
+	/** Makes the document of `/status`. */
 	readonly getStatus: () => unknown;
-	/** Cuts every link to targets; they connect again. */
+	/** Closes every connection to targets at once; the links then reconnect. */
 	disconnectTargets(): void;
-	/** Planned stop: takes no new callers, lets open requests end, then closes. */
+	/** Planned stop: reports not ready, waits `stopDelayMs`, lets open requests end, then closes. */
 	stop(): Promise<void>;
-	/** Ends at once, as a crash would. */
+	/** Stops at once without draining, as a crash would. */
 	kill(): Promise<void>;
 };
--- a/src/entry/start-entry.ts
+++ b/src/entry/start-entry.ts
@@ -39,7 +39,7 @@
 
 const logger = getLogger('entry');
 
-/** Starts an entry process: its parts, what they tell each other, and its servers. */
+/** Starts an entry process: creates its controllers, wires them together, and starts its servers. */
 export async function startEntry(settings: EntrySettings, clock: () => number, random: () => number): Promise<RunningEntry> {
 	const {id, availabilityZone, platform} = settings;
 	const incarnation = makeIncarnation(clock());
@@ -203,7 +203,7 @@
 		meter: metrics.meterLink,
 		onConnection: accept,
 		onRejection(reason) {
-			logger.warn(`peer turned away: ${reason}`);
+			logger.warn(`link rejected: ${reason}`);
 		},
 	});
 	await server.listen();
--- a/src/link/connect-link.ts
+++ b/src/link/connect-link.ts
@@ -5,20 +5,22 @@
 import {type LinkMeter} from './link-meter.js';
 import {linkSecurity} from './link-security.js';
 
-/* One context for all links: a context of its own costs each link far more than its socket. */
+/* One TLS context is shared by all links: a context for each would cost far more than its socket. */
 const secureContext = createSecureContext(linkSecurity.context);
 
 type ConnectOptions = {
 	readonly address: string;
 	readonly port: number;
+	/** Pre-shared key, hexadecimal. */
 	readonly key: string;
 	readonly maximumFrameBytes: number;
+	/** Time-out of the TLS handshake, milliseconds. */
 	readonly timeoutMs: number;
 	readonly meter: LinkMeter;
 };
 
 /**
- * Opens a link.
+ * Opens a link to a process that listens with `listenForLinks`.
  *
  * @throws LinkError when the peer cannot be reached in time or has another key
  */
@@ -33,7 +35,7 @@
 	});
 	return new Promise((resolve, reject) => {
 		const timer = setTimeout(() => {
-			socket.destroy(new Error('no answer in time'));
+			socket.destroy(new Error('the connection timed out'));
 		}, options.timeoutMs);
 		const fail = (error: Error) => {
 			clearTimeout(timer);
--- a/src/link/encode-frame.ts
+++ b/src/link/encode-frame.ts
@@ -4,7 +4,7 @@
 
 const headerBytes = 4;
 
-/** Encodes one message as a frame: four bytes of length, big endian, then CBOR. */
+/** Encodes one message as a frame: the length in four bytes, big endian, then the message in CBOR. */
 export function encodeFrame(message: LinkMessage): Buffer {
 	const body = encode(message);
 	const frame = Buffer.allocUnsafe(headerBytes + body.length);
--- a/src/link/frame-decoder.ts
+++ b/src/link/frame-decoder.ts
@@ -4,9 +4,10 @@
 
 const headerBytes = 4;
 
+/** A decoded frame; `bytes` includes its header. */
 type Frame = {readonly item: unknown; readonly bytes: number};
 
-/** Cuts a byte stream into frames: four bytes of length, big endian, then one CBOR item. */
+/** Splits a byte stream into frames: the length in four bytes, big endian, then one CBOR item. */
 export class FrameDecoder {
 	private pending: Buffer = Buffer.alloc(0);
 
@@ -14,7 +15,7 @@
 	constructor(private readonly maximumBytes: number) {}
 
 	/**
-	 * Takes received bytes and gives the items that became whole.
+	 * Adds received bytes and returns the frames that are now complete.
 	 *
 	 * @throws LinkError when a frame is too large or is not CBOR
 	 */
--- a/src/link/link-connection.ts
+++ b/src/link/link-connection.ts
@@ -8,7 +8,7 @@
 import {LinkMessage} from './link-message.js';
 import {type LinkMeter} from './link-meter.js';
 
-/** One link to another process: owns its socket and speaks in typed messages only. */
+/** One connection to another process: owns the socket, and encodes, decodes and validates messages. */
 export class LinkConnection {
 	private readonly decoder: FrameDecoder;
 	private readonly closeHandlers: Array<(error: LinkError | undefined) => void> = [];
@@ -20,7 +20,7 @@
 	/**
 	 * @param socket - an established TLS socket; the link owns it from here
 	 * @param maximumFrameBytes - largest frame accepted
-	 * @param meter - told of each frame
+	 * @param meter - called for each frame sent or received
 	 */
 	constructor(private readonly socket: TLSSocket, maximumFrameBytes: number, private readonly meter: LinkMeter) {
 		this.decoder = new FrameDecoder(maximumFrameBytes);
@@ -41,20 +41,20 @@
 		return this.isUsable;
 	}
 
-	/** Sets the one receiver of messages. */
+	/** Sets the handler of messages; there is only one. */
 	onMessage(handler: (message: LinkMessage) => void): void {
 		this.messageHandler = handler;
 	}
 
-	/** Adds a receiver of the link's end; the error is absent after an orderly close. */
+	/** Adds a handler that is called once when the connection ends; the error is undefined after an orderly close. */
 	onClose(handler: (error: LinkError | undefined) => void): void {
 		this.closeHandlers.push(handler);
 	}
 
 	/**
-	 * Sends a message; the messages of one turn of the event loop leave together.
+	 * Sends a message. Messages sent in the same turn of the event loop are written together.
 	 *
-	 * @returns whether the message was handed to the socket; false proves that it never left
+	 * @returns whether the message was handed to the socket; false means that it was certainly not sent
 	 */
 	send(message: LinkMessage): boolean {
 		if (!this.isUsable || this.socket.destroyed) {
@@ -68,12 +68,12 @@
 		return true;
 	}
 
-	/** Ends the link after what was sent has left. */
+	/** Closes the connection after pending messages have been written. */
 	close(): void {
 		this.socket.end();
 	}
 
-	/** Cuts the link at once. */
+	/** Closes the connection at once. */
 	destroy(): void {
 		this.socket.destroy();
 		this.noteClosed();
@@ -107,7 +107,7 @@
 		const parsed = LinkMessage.safeParse(item);
 		if (!parsed.success) {
 			const [issue] = parsed.error.issues;
-			throw new LinkError('malformed', `message breaks the schema at "${issue.path.join('.')}": ${issue.message}`);
+			throw new LinkError('malformed', `message does not match the schema at "${issue.path.join('.')}": ${issue.message}`);
 		}
 
 		this.meter('received', isControlMessage(parsed.data), bytes);
--- a/src/link/link-error.ts
+++ b/src/link/link-error.ts
@@ -1,4 +1,4 @@
-/** What ends a link: a frame or message that breaks the protocol, or a socket that failed. */
+/** Why a link ended: a frame or message that violates the protocol, or a socket error. */
 export class LinkError extends Error {
 	override readonly name = 'LinkError';
 
--- a/src/link/link-message.ts
+++ b/src/link/link-message.ts
@@ -11,10 +11,12 @@
 
 const bytes = z.instanceof(Uint8Array);
 const headers = z.record(z.string(), z.union([z.string(), z.array(z.string())]));
+/* Fields of the messages on one attempt of a request. */
 const callFields = {id: z.string().max(128), attempt: z.int().min(0)};
 const sequence = z.int().min(0);
 const tableVersion = z.int().min(0);
 const recordState = z.enum(['absent', 'running', 'done']);
+/* Fields of the messages on a switch of expert maps. */
 const order = {fence: z.int().min(0), epoch: z.int().min(0)};
 const load = z.object({
 	running: z.int().min(0),
@@ -22,6 +24,7 @@
 	concurrency: z.int().min(1),
 	serviceMs: z.number().min(0),
 });
+/* Fields of the messages in which a process introduces itself. */
 const processFields = {
 	protocol: z.int(),
 	id: z.string(),
@@ -30,7 +33,7 @@
 	tableVersion,
 };
 
-/* A request that runs at most once: its key, who owns the key, and the one process incarnation that may run it. */
+/* For a request that runs at most once: its key, the owner of the key's claim, the only incarnation that may run it, and the claim's expiry (milliseconds since the epoch). */
 const once = z.object({
 	key: z.string(),
 	owner: z.string(),
@@ -38,7 +41,7 @@
 	expiresAt: z.number(),
 });
 
-/** Every message that two processes of the system exchange on a link. */
+/** Schema of all messages between two processes on a link. Encoded as they stand in CBOR, so that field names belong to the protocol. */
 const LinkMessage = z.discriminatedUnion('type', [
 	z.object({type: z.literal('hello'), ...processFields, role: z.enum(['entry', 'target', 'operator'])}),
 	z.object({
@@ -59,7 +62,7 @@
 		weight: z.number().positive(),
 		urgency: z.number(),
 		timeoutMs: z.number(),
-		/** Whether the request may wait before the engine; if not, a busy target refuses it at once. */
+		/** Whether the request may wait in the target's queue; if not, a busy target refuses it at once. */
 		mayWait: z.boolean(),
 		tableVersion,
 		once: once.optional(),
@@ -168,46 +171,46 @@
 	z.object({
 		type: z.literal('entry-load'),
 		id: z.string(),
-		/** Where the sender takes links. */
+		/** Address at which the sender listens for links. */
 		address: z.string(),
 		availabilityZone: z.string(),
-		/** Revision of the store that the sender's view includes. */
+		/** Latest revision of the store in the sender's view. */
 		viewRevision: Revision,
-		/** How long ago that view was known to be current, milliseconds. */
+		/** Time since the sender's view was last known to be current, milliseconds. */
 		viewAgeMs: z.number(),
 		/** Version of the configuration in force at the sender; 0 while none is. */
 		configurationVersion: z.int().min(0),
 		/** Requests that the sender has in flight, by target. */
 		inFlight: z.record(z.string(), z.int().min(0)),
 		...EntryDigest.shape,
-		/** Addresses of the entries that the sender knows, so that a starting one finds all without the store. */
+		/** Addresses of the entries that the sender knows, so that a starting entry can find all of them without the store. */
 		peers: z.array(z.string()).optional(),
 	}),
-	/* A request for a target that names a limit asks the entry that keeps its permits. */
+	/* Before a request is sent to a target that has announced a limit, the entry that manages the limit's permits is asked for one. */
 	z.object({type: z.literal('permit-wanted'), number: z.int().min(0), limit: LimitDigest}),
 	z.object({
 		type: z.literal('permit'),
 		number: z.int().min(0),
 		isGranted: z.boolean(),
-		/** How long until the next one can be had, milliseconds. */
+		/** Time until the next permit is available, milliseconds. */
 		nextMs: z.number().min(0),
 	}),
 	z.object({type: z.literal('view-wanted'), after: Revision}),
 	z.object({type: z.literal('view-offered'), view: ViewSnapshot}),
 	z.object({
 		type: z.literal('rank-status'),
-		/** Highest planner term that the sender has heard of; the report was read after that. */
+		/** Highest planner term that the sender knows of; the report was read after it learned of that term. */
 		term: z.int().min(0),
-		/** Where the rank's engine takes orders, for a planner that has lost the process beside it. */
+		/** Address at which the rank's engine takes orders, for a planner that has lost contact with the rank's process. */
 		engineAddress: z.string(),
-		/** A planner's last sign of life: its term, when it was sent by that planner's clock, and how long ago it came in, milliseconds. */
+		/** Last `rank-term` message of a planner: its term, its sending time by the planner's clock, and the time since it arrived at the rank, milliseconds. */
 		sign: z.object({term: z.int().min(0), sentAt: z.number(), agoMs: z.number().min(0)}).optional(),
 		report: RankReport,
 		counts: ExpertCounts.optional(),
-		/** Experts that the rank holds by layer, with the version of the map that says so. */
+		/** Experts that the rank holds, by layer, and the version of the map that placed them. */
 		placement: RankPlacement.optional(),
 	}),
-	/* An order that an entry gives for a planner, so that no VM of a rank is the one that gives it. */
+	/* An order to an engine that a planner asks an entry to deliver, so that no VM of a rank delivers it. */
 	z.object({
 		type: z.literal('engine-order'),
 		number: z.int().min(0),
@@ -218,7 +221,7 @@
 	z.object({
 		type: z.literal('rank-term'),
 		term: z.int().min(0),
-		/** By the planner's own clock, milliseconds; it is sent back with reports. */
+		/** Sending time by the planner's clock, milliseconds; ranks send it back with their reports. */
 		sentAt: z.number(),
 	}),
 	z.object({
--- a/src/link/link-meter.ts
+++ b/src/link/link-meter.ts
@@ -1,2 +1,2 @@
-/** Counts a frame: its direction, whether it is control, and its bytes. */
+/** Counts one frame by direction, traffic class and bytes, header included. */
 export type LinkMeter = (direction: 'sent' | 'received', isControl: boolean, bytes: number) => void;
--- a/src/link/link-protocol-version.ts
+++ b/src/link/link-protocol-version.ts
@@ -1,2 +1,2 @@
-/** Version of the messages on links; a peer with another one is turned away. */
+/** Version of the link messages; the link of a peer with another version is closed. */
 export const linkProtocolVersion = 2;
--- a/src/link/link-security.ts
+++ b/src/link/link-security.ts
@@ -1,6 +1,6 @@
 import {type SecureContextOptions} from 'node:tls';
 
-/** TLS settings of every link: pre-shared key with an ephemeral exchange, so that a key read later opens no old recording. */
+/** TLS settings of every link: pre-shared key with an ephemeral key exchange (forward secrecy: a key that leaks later does not decrypt recorded traffic). */
 export const linkSecurity = {
 	identity: 'wardswitch',
 	context: {
--- a/src/link/listen-for-links.ts
+++ b/src/link/listen-for-links.ts
@@ -11,14 +11,16 @@
 type ListenOptions = {
 	readonly address: string;
 	readonly port: number;
+	/** Pre-shared key, hexadecimal. */
 	readonly key: string;
 	readonly maximumFrameBytes: number;
 	readonly meter: LinkMeter;
 	readonly onConnection: (connection: LinkConnection) => void;
+	/** Called with the reason when the TLS handshake of a peer fails. */
 	readonly onRejection: (reason: string) => void;
 };
 
-/** Listens for links; a peer without the key is turned away before it can send a message. */
+/** Listens for links. A peer without the key fails the TLS handshake, so that none of its messages is read. */
 export async function listenForLinks(options: ListenOptions): Promise<LinkListener> {
 	const key = Buffer.from(options.key, 'hex');
 	const connections = new Set<LinkConnection>();
--- a/src/link/message-of.ts
+++ b/src/link/message-of.ts
@@ -1,4 +1,4 @@
 import {type LinkMessage} from './link-message.js';
 
-/** The message of one type among all link messages. */
+/** The link message with the given `type`. */
 export type MessageOf<Type extends LinkMessage['type']> = Extract<LinkMessage, {type: Type}>;
--- a/src/link/persistent-link.ts
+++ b/src/link/persistent-link.ts
@@ -2,20 +2,21 @@
 
 type PersistentLinkOptions = {
 	readonly connect: () => Promise<LinkConnection>;
-	/** Called for each connection that opened. */
+	/** Called with each connection that was opened. */
 	readonly onOpen: (connection: LinkConnection) => void;
 	/** Called when the connection was lost or could not be opened. */
 	readonly onLost: (message: string) => void;
-	/** A number from 0 to 1 that spreads reconnects. */
+	/** Returns a number from 0 to 1, for the jitter of reconnects. */
 	readonly random: () => number;
-	/** Longest pause between two tries, milliseconds. */
+	/** Maximum backoff between two attempts, before jitter, milliseconds. */
 	readonly maximumDelayMs?: number;
 };
 
+/** Backoff before the first reconnect, milliseconds; it doubles with each failed attempt. */
 const initialRetryDelayMs = 50;
 const defaultMaximumRetryDelayMs = 5000;
 
-/** A task that keeps one link open: connects, and connects again with growing, jittered delays until it is closed. */
+/** Keeps one link open: connects, and reconnects with exponential backoff and jitter until it is closed. */
 export class PersistentLink {
 	private connection: LinkConnection | undefined;
 	private retryDelayMs = initialRetryDelayMs;
@@ -31,14 +32,14 @@
 		return this.connection?.isOpen ? this.connection : undefined;
 	}
 
-	/** Ends the task and its connection. */
+	/** Closes the connection for good. */
 	close(): void {
 		this.isClosed = true;
 		clearTimeout(this.timer);
 		this.connection?.close();
 	}
 
-	/** Cuts the connection at once; the task connects again. */
+	/** Closes the connection at once; a reconnect follows. */
 	disconnect(): void {
 		this.connection?.destroy();
 	}
--- a/src/requests/dispatcher.ts
+++ b/src/requests/dispatcher.ts
@@ -25,11 +25,11 @@
 type JoinPermit = Extract<RunPermit, {kind: 'join'}>;
 type Progress = {
 	attempt: number;
-	/** Attempts that do not count, since they only asked. */
+	/** Attempts that a busy target refused at once; they do not count towards `maximumAttempts`. */
 	probeAttempts: number;
-	/** How many targets may still be asked to take the request at once or not at all. */
+	/** How many more targets may be sent the request with `mayWait` unset, so that a busy one refuses it at once. */
 	probesLeft: number;
-	/** Targets that were asked and were busy, with the wait that each expects. */
+	/** Targets that refused as busy, with the wait that each expects, milliseconds. */
 	readonly busy: Map<string, number>;
 	retryAfterMs: number;
 	reason: string;
@@ -37,15 +37,15 @@
 };
 
 const defaultRetryAfterMs = 1000;
-/** Targets that are asked to start a request at once before it may wait at one of them. */
+/** Targets that may refuse a request as busy before it is queued at one of them. */
 const maximumProbes = 4;
 const forwardedHeaders = ['content-type', 'accept', 'accept-language', 'traceparent', 'tracestate', 'idempotency-key'];
 
-/** Sends requests to targets: one attempt, or more where that is safe and the budget allows it. */
+/** Sends requests to targets. An attempt is repeated where that is safe and, after a lost answer, where the retry budget allows it. */
 export class Dispatcher {
 	constructor(private readonly options: DispatcherOptions) {}
 
-	/** Runs a request to its end; the caller has had the answer, or the problem is returned. */
+	/** Runs a request to its end: either its answer has been relayed to the caller, or the problem is returned. */
 	async run(exchange: Exchange, guard: RunGuard): Promise<Result<void, Problem>> {
 		const progress: Progress = {
 			attempt: 0, probeAttempts: 0, probesLeft: maximumProbes, busy: new Map(), retryAfterMs: 0, reason: 'no target is ready', excluded: new Set(),
@@ -84,11 +84,11 @@
 			excluded: progress.excluded,
 			now,
 		});
-		// With fewer targets than may be asked, the request waits at the best of them.
+		// No other target can be chosen: the request waits at the least busy one of those that were asked.
 		return link ?? (progress.busy.size > 0 ? this.takeLeastBusy(progress) : undefined);
 	}
 
-	/* What a target says of itself when it refuses is fresher than any report: the shortest wait is taken. */
+	/* A busy refusal carries the target's current wait, which is fresher than its last load report: the shortest wait wins. */
 	private takeLeastBusy(progress: Progress): TargetLink | undefined {
 		const [least] = [...progress.busy].toSorted(([, one], [, other]) => one - other);
 		progress.busy.clear();
@@ -97,7 +97,7 @@
 		return link?.isReady ? link : undefined;
 	}
 
-	/* Gives the end of the request, or undefined when another target may be tried. */
+	/* Returns the result of the request, or undefined when another target may be tried. */
 	private async tryTarget(exchange: Exchange, guard: RunGuard, link: TargetLink, progress: Progress): Promise<Result<void, Problem> | undefined> {
 		const permit = await exchange.trace('guard', async () => guard.admit(link));
 		if (permit.isErr()) {
@@ -169,7 +169,7 @@
 			}
 
 			case 'busy': {
-				// Asking costs a round trip and no attempt.
+				// A busy refusal costs a round trip but does not count as an attempt.
 				progress.probesLeft--;
 				progress.probeAttempts++;
 				progress.busy.set(id, result.retryAfterMs);
@@ -183,7 +183,7 @@
 		}
 	}
 
-	/* A copy of this request came first: its answer is ours too, if its target process still has it. */
+	/* Another request with the same key came first: its answer is relayed, if its target process still keeps it. */
 	private async joinFirstRun(exchange: Exchange, guard: RunGuard, first: JoinPermit, attempt: number): Promise<Result<void, Problem> | undefined> {
 		exchange.noteDecision(`joins request ${first.owner} at ${first.target}`);
 		const link = this.options.pool.get(first.target);
@@ -249,7 +249,7 @@
 			weight: exchange.row?.weight ?? 1,
 			urgency: exchange.urgency,
 			timeoutMs,
-			// Refusing a keyed request is final and moves its claim, so such a request waits where it was sent.
+			// A keyed request is never probed: a refusal is final for it and moves its claim to another target.
 			mayWait: once !== undefined || progress.probesLeft === 0,
 			tableVersion: this.options.tableVersion(),
 			...(once && {once}),
--- a/src/requests/exchange.ts
+++ b/src/requests/exchange.ts
@@ -5,7 +5,7 @@
 
 type ExchangeOptions = Pick<Exchange, 'id' | 'method' | 'url' | 'headers' | 'response' | 'arrivedAt' | 'span' | 'tracer'>;
 
-/** One request of a caller on its way through the filters; each filter fills in what it finds. */
+/** One request of a caller and its response, passed along the chain of filters; each filter sets the fields that it determines. */
 export class Exchange {
 	organisation = '';
 	service = '';
@@ -13,22 +13,25 @@
 	/** Path and query for the engine or service. */
 	path = '';
 	body: Uint8Array<ArrayBuffer> = new Uint8Array();
+	/** The table's row for this service and organisation, if there is one. */
 	row: Row | undefined;
-	/** Moment by which the answer must have come, milliseconds since the epoch. */
+	/** Time by which the answer must be complete, milliseconds since the epoch. */
 	deadline = 0;
+	/** RFC 9218 urgency: 0 is served first, 7 last; 3 by default. */
 	urgency = 3;
-	/** Whether sending it again after a failure is safe. */
+	/** Whether the request may be sent again after a failure, at the risk that it runs twice. */
 	isRepeatable = true;
-	/** Set when the request must run at most once. */
+	/** Idempotency key; set when the request must run at most once. */
 	key: string | undefined;
+	/** Signed ticket as the caller sent it; set when the request must run at most once, at the ticket's target. */
 	ticket: string | undefined;
-	/** Hash of the prompt's beginning. */
+	/** Hash of the organisation and the start of the prompt, for cache affinity; undefined for plain services. */
 	prefixHash: number | undefined;
-	/** Estimate of the tokens that the request will cost. */
+	/** Estimated tokens of prompt and answer, for limits on tokens. */
 	tokens = 0;
-	/** Whether the caller has gone away. */
+	/** Aborted when the caller disconnects before its response is complete. */
 	readonly callerAbort = new AbortController();
-	/** What was decided and why, for `explain`. */
+	/** Decisions on this request and their reasons, for `/explain`. */
 	readonly decisions: string[] = [];
 
 	readonly id: string;
@@ -41,23 +44,23 @@
 	readonly span: Span;
 	readonly tracer: Tracer;
 
-	constructor(origin: ExchangeOptions) {
-		this.id = origin.id;
-		this.method = origin.method;
-		this.url = origin.url;
-		this.headers = origin.headers;
-		this.response = origin.response;
-		this.arrivedAt = origin.arrivedAt;
-		this.span = origin.span;
-		this.tracer = origin.tracer;
+	constructor(options: ExchangeOptions) {
+		this.id = options.id;
+		this.method = options.method;
+		this.url = options.url;
+		this.headers = options.headers;
+		this.response = options.response;
+		this.arrivedAt = options.arrivedAt;
+		this.span = options.span;
+		this.tracer = options.tracer;
 	}
 
-	/** Runs one hop of the request under a span of its own. */
+	/** Runs `work` within a child span called `name`. */
 	async trace<Value>(name: string, work: (span: Span) => Promise<Value>): Promise<Value> {
 		return traceHop(this.tracer, name, this.span, work);
 	}
 
-	/** Notes a decision for `explain`. */
+	/** Records a decision for `/explain`. */
 	noteDecision(decision: string): void {
 		this.decisions.push(decision);
 	}
--- a/src/requests/explanations.ts
+++ b/src/requests/explanations.ts
@@ -1,4 +1,4 @@
-/** Why one request went as it did. */
+/** How one request was handled. Encoded as JSON for `/explain`: `at` is its arrival, milliseconds since the epoch. */
 type Explanation = {
 	readonly id: string;
 	readonly service: string;
@@ -12,7 +12,7 @@
 
 const maximumExplanations = 1000;
 
-/** The decisions on the last requests, for `explain`. */
+/** The decisions on the most recent requests, for `/explain`; the oldest is evicted above the maximum. */
 export class Explanations {
 	private readonly byId = new Map<string, Explanation>();
 
--- a/src/requests/filters/make-authentication-filter.ts
+++ b/src/requests/filters/make-authentication-filter.ts
@@ -6,7 +6,7 @@
 
 const scheme = /^bearer (?<token>\S+)$/iv;
 
-/** Finds the organisation by the bearer token; the table holds only the tokens' hashes. */
+/** Finds the organisation by the SHA-256 hash of the bearer token; the table holds no tokens, only their hashes. */
 export function makeAuthenticationFilter(getTable: () => TableSnapshot | undefined): Filter {
 	return async (exchange, next) => {
 		const token = scheme.exec(exchange.headers.authorization ?? '')?.groups?.token;
--- a/src/requests/filters/make-body-filter.ts
+++ b/src/requests/filters/make-body-filter.ts
@@ -4,7 +4,7 @@
 import {type Filter} from '../filter.js';
 import {Problem} from '../problem.js';
 
-/** Reads the body, up to a size in bytes. */
+/** Reads the body of a request; one of more than `maximumBytes` is refused with status 413. */
 export function makeBodyFilter(incoming: IncomingMessage, maximumBytes: number): Filter {
 	return async (exchange, next) => {
 		const chunks: Buffer[] = [];
--- a/src/requests/filters/make-call-options-filter.ts
+++ b/src/requests/filters/make-call-options-filter.ts
@@ -3,12 +3,13 @@
 import {type Filter} from '../filter.js';
 import {Problem} from '../problem.js';
 
-/* RFC 9218: the member u of the dictionary, 0 to 7. */
+/* Member `u` of the `Priority` header (RFC 9218), 0 to 7. */
 const urgencyMember = /(?:^|,)\s*u=(?<urgency>[0-7])\s*(?:[,;]|$)/v;
 const safeMethods = new Set(['GET', 'HEAD', 'OPTIONS', 'PUT', 'DELETE']);
+/** Characters of an idempotency key at most. */
 const maximumKeyLength = 255;
 
-/** Reads what the caller says of deadline, priority and repetition. */
+/** Reads the caller's options from the headers: deadline, priority, and whether the request may be repeated. */
 export function makeCallOptionsFilter(defaultTimeoutMs: number): Filter {
 	return async (exchange, next) => {
 		const problem = readTimeout(exchange, defaultTimeoutMs) ?? readRepetition(exchange);
@@ -17,9 +18,9 @@
 		}
 
 		const urgency = urgencyMember.exec(String(exchange.headers.priority ?? ''))?.groups?.urgency;
-		const usual = exchange.row?.urgency ?? exchange.urgency;
-		// A caller may make its own request wait, not overtake what its row grants.
-		exchange.urgency = urgency === undefined ? usual : Math.max(usual, Number(urgency));
+		const rowUrgency = exchange.row?.urgency ?? exchange.urgency;
+		// A caller may lower the priority of its request, but not raise it above that of its row.
+		exchange.urgency = urgency === undefined ? rowUrgency : Math.max(rowUrgency, Number(urgency));
 		return next();
 	};
 }
@@ -51,10 +52,10 @@
 		return makeBadRequest('Idempotency-Key: expected with "Wardswitch-Repeatable: no"');
 	}
 
-	const isUsuallyRepeatable = exchange.kind === 'model' || safeMethods.has(exchange.method);
+	const isRepeatableByDefault = exchange.kind === 'model' || safeMethods.has(exchange.method);
 	exchange.key = word === 'yes' || key === undefined ? undefined : String(key);
 	exchange.ticket = word === 'yes' || ticket === undefined ? undefined : String(ticket);
-	exchange.isRepeatable = word === undefined ? isUsuallyRepeatable : word === 'yes';
+	exchange.isRepeatable = word === undefined ? isRepeatableByDefault : word === 'yes';
 	return undefined;
 }
 
--- a/src/requests/filters/make-dispatch-filter.ts
+++ b/src/requests/filters/make-dispatch-filter.ts
@@ -18,7 +18,7 @@
 	readonly clock: () => number;
 };
 
-/** Ends the chain: guards the request against a second run as its caller asked, and dispatches it. */
+/** Last filter of the chain: dispatches the request under the guard against repeated runs that its caller asked for (ticket, key or none). */
 export function makeDispatchFilter(options: DispatchFilterOptions): Filter {
 	return async exchange => {
 		const guard = makeGuard(exchange, options);
--- a/src/requests/filters/make-limit-filter.ts
+++ b/src/requests/filters/make-limit-filter.ts
@@ -5,7 +5,7 @@
 import {type Filter} from '../filter.js';
 import {Problem} from '../problem.js';
 
-/** Holds an organisation to the limits of its row. */
+/** Enforces the limits of the organisation's row on requests, tokens and concurrency; what is held is released when the request ends. */
 export function makeLimitFilter(limits: LimitController): Filter {
 	return async (exchange, next) => {
 		const demands = listDemands(exchange);
--- a/src/requests/filters/make-service-filter.ts
+++ b/src/requests/filters/make-service-filter.ts
@@ -13,10 +13,11 @@
 
 const modelPaths = new Set(['/v1/chat/completions', '/v1/completions']);
 const plainPath = /^\/services\/(?<service>[\w.\-]+)(?<rest>\/.*)?$/v;
-/** Characters of a prompt that decide which engine may still hold its beginning. */
+/** Characters at the start of a prompt that are hashed to find an engine that may still have them in its cache. */
 const prefixCharacters = 512;
+/** Tokens that an answer is taken to have when the caller sets no `max_tokens`. */
 const defaultAnswerTokens = 256;
-/** Characters that one token of a prompt has about. */
+/** Approximate characters per token of a prompt. */
 const charactersPerToken = 4;
 
 const modelBody = z.looseObject({
@@ -26,7 +27,7 @@
 	max_tokens: z.int().positive().optional(),
 });
 
-/** Finds the service: by the model's name for model services, by the path for plain ones. */
+/** Finds the service by the model's name (model services) or by the path (plain services), and its row in the table. */
 export function makeServiceFilter(options: ServiceFilterOptions): Filter {
 	return async (exchange, next) => {
 		const problem = modelPaths.has(exchange.url) ? readModelRequest(exchange) : readPlainRequest(exchange);
--- a/src/requests/filters/make-ticket-filter.ts
+++ b/src/requests/filters/make-ticket-filter.ts
@@ -13,6 +13,7 @@
 	readonly random: () => number;
 };
 
+/** How long a ticket is valid, milliseconds. */
 const ticketLifetimeMs = 600_000;
 const TicketRequest = z.object({service: z.string()});
 
@@ -24,7 +25,7 @@
 	}
 };
 
-/** Ends the chain of `POST /tickets`: gives a ticket for one run at a target process that is ready now. */
+/** Last filter of `POST /tickets`: issues a ticket for one run at a target process that is ready now. */
 export function makeTicketFilter(options: TicketFilterOptions): Filter {
 	return async exchange => {
 		const parsed = parseTicketRequest(exchange.body);
--- a/src/requests/follow-call.ts
+++ b/src/requests/follow-call.ts
@@ -4,7 +4,7 @@
 import {type Exchange} from './exchange.js';
 import {relayAnswer} from './relay-answer.js';
 
-/** Longest wait for a target's word on a call that was given up, milliseconds. */
+/** How long to wait for the target's answer after a call was given up, milliseconds. */
 const cancelTimeoutMs = 250;
 
 type FollowOptions = {
@@ -12,11 +12,11 @@
 	readonly exchange: Exchange;
 	/** Milliseconds until the deadline. */
 	readonly timeoutMs: number;
-	/** Whether giving up may end the run; a run that others may still ask for goes on. */
+	/** Whether the target is told to cancel when the call is given up; a keyed run goes on, since others may still ask for its answer. */
 	readonly mayCancel: boolean;
 };
 
-/** Follows one call to its end, and relays its answer to the caller. */
+/** Follows one call to its end and relays its answer to the caller. The call is given up at the deadline or when the caller disconnects. */
 export async function followCall(call: Call, options: FollowOptions): Promise<AttemptResult> {
 	const {link, exchange, timeoutMs, mayCancel} = options;
 	let graceTimer: NodeJS.Timeout | undefined;
--- a/src/requests/outcome.ts
+++ b/src/requests/outcome.ts
@@ -1,2 +1,2 @@
-/** What became of a request that has no answer: it truly did not run, it may have run, or it ran and gave an error. */
+/** What became of a request without an answer: it did not run, it may have run, or it ran and failed. Written into problem answers. */
 export type Outcome = 'not-run' | 'unknown' | 'failed';
--- a/src/requests/problem.ts
+++ b/src/requests/problem.ts
@@ -5,13 +5,13 @@
 	readonly title: string;
 	readonly detail: string;
 	readonly outcome: Outcome;
-	/** When to come back, milliseconds from now. */
+	/** When to retry, milliseconds from now. */
 	readonly retryAfterMs?: number;
-	/** What is known of the idempotency key: no request with it ran, one runs or ran, or that is not known. */
+	/** Whether a request with the same idempotency key ran or is running: no (`unused`), yes (`used`) or not known. */
 	readonly keyState?: 'unused' | 'used' | 'unknown';
 };
 
-/** Why a request gets no answer, as the caller is told (RFC 9457). */
+/** Why a request gets no answer, as sent to the caller in problem details (RFC 9457). */
 export class Problem extends Error {
 	override readonly name = 'Problem';
 
--- a/src/requests/relay-answer.ts
+++ b/src/requests/relay-answer.ts
@@ -13,7 +13,7 @@
 
 const isEventStream = (response: ServerResponse): boolean => String(response.getHeader('content-type') ?? '').startsWith('text/event-stream');
 
-/* What the caller has so far must not pass for a whole answer. */
+/* Closes the connection, after an error event on event streams, so that the caller cannot take the answer for complete. */
 const abortResponse = (response: ServerResponse, reason: string): void => {
 	if (isEventStream(response) && !response.destroyed) {
 		const problem = JSON.stringify({title: 'The answer broke off', detail: reason, outcome: 'unknown'});
@@ -26,9 +26,9 @@
 };
 
 /**
- * Writes an answer to the caller from its head to its end.
+ * Relays an answer to the caller, from its head to its end.
  *
- * @returns whether the answer went out whole; if not, it was broken off so that the caller sees it
+ * @returns whether the answer was relayed completely; if not, the response was aborted
  */
 export async function relayAnswer(head: Head, call: Call, response: ServerResponse): Promise<boolean> {
 	response.writeHead(head.status, head.headers);
--- a/src/requests/retry-budget.ts
+++ b/src/requests/retry-budget.ts
@@ -1,19 +1,19 @@
-/** Most retries that can be saved up. */
+/** Retries that the bucket holds at most, and at the start. */
 const maximumRetries = 10;
 
-/** Keeps retries to a share of first attempts, so that failing targets do not multiply the load. */
+/** A token bucket that limits retries to a share of the requests, so that failing targets do not multiply the load. */
 export class RetryBudget {
 	private retries = maximumRetries;
 
-	/** @param ratio - retries that each first attempt earns */
+	/** @param ratio - retries that each request adds */
 	constructor(private readonly ratio: number) {}
 
-	/** Notes a first attempt. */
+	/** Adds the share of one request; called once for each. */
 	deposit(): void {
 		this.retries = Math.min(maximumRetries, this.retries + this.ratio);
 	}
 
-	/** Takes one retry; false when there is none left. */
+	/** Takes one retry from the bucket; false when there is none left. */
 	tryWithdraw(): boolean {
 		if (this.retries < 1) {
 			return false;
--- a/src/requests/write-problem.ts
+++ b/src/requests/write-problem.ts
@@ -1,7 +1,7 @@
 import {type ServerResponse} from 'node:http';
 import {type Problem} from './problem.js';
 
-/** Writes a problem as RFC 9457 problem details, with `Retry-After` in whole seconds and `outcome`. */
+/** Writes a problem as RFC 9457 problem details, with `Retry-After` in whole seconds; `id` is the request's. */
 export function writeProblem(problem: Problem, id: string, response: ServerResponse): void {
 	const {
 		status, title, detail, outcome, retryAfterMs, keyState,
--- a/src/target/answer-buffer.ts
+++ b/src/target/answer-buffer.ts
@@ -2,13 +2,13 @@
 
 type NumberedPart = {readonly sequence: number; readonly part: AnswerPart; readonly bytes: number};
 
-/** Bytes that a part counts beside its chunk. */
+/** Bytes counted for each part in addition to its chunk. */
 const partOverheadBytes = 64;
 
 /**
- * The parts of one answer from the first that its reader has not acknowledged.
+ * The numbered parts of one answer, kept at least until they are acknowledged.
  *
- * While the whole answer fits it is kept from the start, so that a second caller with the same key can have it.
+ * A replayable answer is kept from its start while it fits, so that a second caller with the same key can read it.
  */
 export class AnswerBuffer {
 	private parts: NumberedPart[] = [];
@@ -18,28 +18,28 @@
 	private acknowledged = 0;
 
 	/**
-	 * @param maximumBytes - kept bytes above which acknowledged parts are dropped and the engine is made to wait
-	 * @param isReplayable - whether acknowledged parts stay while there is room
+	 * @param maximumBytes - buffered bytes above which acknowledged parts are dropped, and unacknowledged bytes from which the engine has to wait
+	 * @param isReplayable - whether acknowledged parts are kept while there is room
 	 */
 	constructor(private readonly maximumBytes: number, private readonly isReplayable: boolean) {}
 
-	/** Whether the answer has ended, wholly or broken. */
+	/** Whether the answer has ended, complete or broken off. */
 	get isEnded(): boolean {
 		const last = this.parts.at(-1)?.part.type;
 		return last === 'end' || last === 'broken';
 	}
 
-	/** Whether more parts may be added now; false asks the engine to wait for the reader. */
+	/** Whether more parts may be added now; while false, reading from the engine pauses. */
 	get hasRoom(): boolean {
 		return this.unacknowledgedBytes < this.maximumBytes;
 	}
 
-	/** Whether the reader has acknowledged every part so far. */
+	/** Whether every part so far has been acknowledged. */
 	get isAcknowledged(): boolean {
 		return this.acknowledged === this.nextSequence;
 	}
 
-	/** Adds a part and gives its sequence number. */
+	/** Adds a part and returns its sequence number. */
 	add(part: AnswerPart): number {
 		const bytes = partOverheadBytes + (part.type === 'data' ? part.chunk.length : 0);
 		const sequence = this.nextSequence++;
@@ -50,7 +50,7 @@
 		return sequence;
 	}
 
-	/** Notes that the reader has every part before `sequence`. */
+	/** Notes that a reader has received every part before `sequence`. */
 	acknowledge(sequence: number): void {
 		for (const part of this.parts) {
 			if (part.sequence >= this.acknowledged && part.sequence < sequence) {
@@ -62,7 +62,7 @@
 		this.trim();
 	}
 
-	/** The parts from `sequence` on; undefined when some of them are no longer kept. */
+	/** Returns the parts from `sequence` on; undefined when some of them are no longer kept. */
 	read(sequence: number): NumberedPart[] | undefined {
 		const first = this.parts.at(0)?.sequence ?? this.nextSequence;
 		return sequence < first ? undefined : this.parts.slice(sequence - first);
--- a/src/target/answer-message.ts
+++ b/src/target/answer-message.ts
@@ -1,4 +1,4 @@
 import {type MessageOf} from '../link/message-of.js';
 
-/** A message that carries part of an answer, in sequence. */
+/** A link message that carries one numbered part of an answer. */
 export type AnswerMessage = MessageOf<'head' | 'data' | 'end' | 'broken'>;
--- a/src/target/answer-part.ts
+++ b/src/target/answer-part.ts
@@ -2,5 +2,5 @@
 
 type WithoutCall<Message> = Message extends unknown ? Omit<Message, 'id' | 'attempt' | 'sequence'> : never;
 
-/** Part of an answer before it is numbered for a call. */
+/** A part of an answer without the call and sequence number that it is sent under. */
 export type AnswerPart = WithoutCall<AnswerMessage>;
--- a/src/target/call-engine.ts
+++ b/src/target/call-engine.ts
@@ -6,11 +6,12 @@
 	/** Base URL of the engine or service. */
 	readonly url: string;
 	readonly dispatcher: Dispatcher;
-	/** Version of the table that the process knows, told with the answer. */
+	/** Latest version of the table that this process knows of; sent with the head of the answer. */
 	readonly tableVersion: () => number;
 };
 
 const hopByHopHeaders = new Set(['connection', 'keep-alive', 'transfer-encoding', 'upgrade', 'content-length', 'host', 'te', 'trailer']);
+/** Error codes of a connection that was never opened; any other error may come after the request was sent. */
 const connectFailureCodes = new Set(['ECONNREFUSED', 'UND_ERR_CONNECT_TIMEOUT', 'EHOSTUNREACH']);
 
 const removeHopByHopHeaders = (headers: Record<string, string | string[] | undefined>): Record<string, string | string[]> =>
@@ -18,10 +19,10 @@
 		entry[1] !== undefined && !hopByHopHeaders.has(entry[0])));
 
 /**
- * Sends a request to the engine and pushes its answer, part by part, to the execution.
+ * Sends a request to the engine and adds its answer, part by part, to the execution. There is no time-out: the entry cancels.
  *
- * @throws EngineRefusal when the engine was never reached
- * @throws Error when the answer broke off
+ * @throws EngineRefusal when no connection to the engine could be opened
+ * @throws Error when the request failed later or the answer broke off
  */
 export async function callEngine(execution: Execution, options: CallOptions): Promise<void> {
 	const {request} = execution;
@@ -48,7 +49,7 @@
 		tableVersion: options.tableVersion(),
 	});
 	for await (const chunk of answer.body) {
-		// A copy: the chunk is a view of a read buffer many times its size, which a kept part would hold on to.
+		// Copied, since the chunk is a view of a read buffer many times its size, which a buffered part would keep in memory.
 		execution.addPart({type: 'data', chunk: new Uint8Array(chunk as Uint8Array)});
 		await execution.waitForRoom();
 	}
--- a/src/target/engine-refusal.ts
+++ b/src/target/engine-refusal.ts
@@ -1,4 +1,4 @@
-/** The engine could not be reached at all, which proves that it never saw the request. */
+/** No connection to the engine could be opened, so the engine has not received the request. */
 export class EngineRefusal extends Error {
 	override readonly name = 'EngineRefusal';
 }
--- a/src/target/execution.ts
+++ b/src/target/execution.ts
@@ -11,20 +11,24 @@
 
 type ExecutionOptions = {
 	readonly request: MessageOf<'request'>;
+	/** Bytes of the answer that are buffered at most. */
 	readonly replayBytes: number;
+	/** Milliseconds since the epoch. */
 	readonly arrivedAt: number;
 };
 
-/** One request as its target process knows it: where it stands, its answer so far, and who reads it. */
+/** One request at its target process: its state, its answer so far, and the calls that read the answer. */
 export class Execution {
 	readonly request: MessageOf<'request'>;
 	readonly arrivedAt: number;
 	state: 'waiting' | 'running' | 'done' = 'waiting';
+	/** Milliseconds since the epoch; 0 before the start. */
 	startedAt = 0;
+	/** Milliseconds since the epoch; 0 before the end. */
 	endedAt = 0;
 	/** Aborts the call to the engine. */
 	readonly abort = new AbortController();
-	/** When the last reader's link was lost; undefined while one reads. */
+	/** When the last reader's link was lost, milliseconds since the epoch; undefined while there is a reader. */
 	unreadSince: number | undefined;
 
 	private readonly buffer: AnswerBuffer;
@@ -37,12 +41,12 @@
 		this.buffer = new AnswerBuffer(options.replayBytes, options.request.once !== undefined);
 	}
 
-	/** Whether the whole answer is there. */
+	/** Whether the answer has ended, complete or broken off. */
 	get isEnded(): boolean {
 		return this.buffer.isEnded;
 	}
 
-	/** Whether a reader has the whole answer. */
+	/** Whether the answer has ended and every part of it is acknowledged. */
 	get isDelivered(): boolean {
 		return this.buffer.isEnded && this.buffer.isAcknowledged;
 	}
@@ -59,7 +63,7 @@
 		}
 	}
 
-	/** Waits until the reader has taken enough that the engine may go on. */
+	/** Waits until enough parts are acknowledged to read on from the engine, or until the call is aborted. */
 	async waitForRoom(): Promise<void> {
 		if (this.buffer.hasRoom || this.abort.signal.aborted) {
 			return;
@@ -73,7 +77,7 @@
 		});
 	}
 
-	/** Notes what a reader has; the slowest reader decides nothing, the first to acknowledge does. */
+	/** Notes what a reader has received. With several readers, the fastest one decides how far the engine may go on. */
 	acknowledge(sequence: number): void {
 		this.buffer.acknowledge(sequence);
 		if (this.buffer.hasRoom) {
@@ -83,7 +87,7 @@
 	}
 
 	/**
-	 * Adds a reader, and sends it the answer from `sequence` on.
+	 * Adds a reader and sends it the answer so far, from `sequence` on.
 	 *
 	 * @returns false when that part of the answer is no longer kept
 	 */
@@ -102,7 +106,7 @@
 		return true;
 	}
 
-	/** Removes the readers for which `isGone` holds, such as those of a closed link. */
+	/** Removes the readers that `isGone` selects, such as those of a closed link. */
 	removeReaders(isGone: (reader: Reader) => boolean, now: number): void {
 		for (const [key, reader] of this.readers) {
 			if (isGone(reader)) {
--- a/src/target/find-refusal.ts
+++ b/src/target/find-refusal.ts
@@ -7,10 +7,10 @@
 	readonly records: RecordTable;
 };
 
-/** Difference of clocks between VMs that an expiry allows for, milliseconds. */
+/** Clock skew between VMs that is allowed for when the expiry of a claim or ticket is checked, milliseconds. */
 const clockSkewMs = 5000;
 
-/** Why a request must not start at this target process, whatever room there is; undefined when it may. */
+/** Returns why a request must not start at this target process, regardless of capacity; undefined when it may. */
 export function findRefusal(request: MessageOf<'request'>, target: TargetState, now: number): MessageOf<'refused'>['reason'] | undefined {
 	const {records, incarnation, isLeaving} = target;
 	const {id, attempt, once} = request;
@@ -18,7 +18,7 @@
 		return 'cancelled';
 	}
 
-	// What this process knows of the key comes before its leaving: a second copy may still join the first.
+	// The key is checked before `isLeaving`, so that a second copy of a request can still join the first.
 	return (once && findKeyRefusal(once, records, incarnation, now)) ?? (isLeaving ? 'leaving' : undefined);
 }
 
--- a/src/target/lifecycle.ts
+++ b/src/target/lifecycle.ts
@@ -8,7 +8,7 @@
 	stopped: state(),
 });
 
-/** Where a target stands between its start and its planned stop. */
+/** State machine of a target process: serving, leaving (a planned stop, which can be revoked) and stopped. */
 export class Lifecycle {
 	private readonly service = interpret(machine, () => {
 		this.onChange();
@@ -21,17 +21,17 @@
 		return this.service.machine.current as 'serving' | 'leaving' | 'stopped';
 	}
 
-	/** Begins a planned stop: nothing new is taken from here on. */
+	/** Begins a planned stop: from here on no new requests are accepted. */
 	stop(): void {
 		this.service.send('stop');
 	}
 
-	/** Takes a planned stop back. */
+	/** Revokes a planned stop. */
 	start(): void {
 		this.service.send('start');
 	}
 
-	/** Notes that the last running request has ended. */
+	/** Notes that the last request has ended, or that the process stops waiting for it. */
 	noteDrained(): void {
 		this.service.send('drained');
 	}
--- a/src/target/peer-links.ts
+++ b/src/target/peer-links.ts
@@ -7,16 +7,16 @@
 type Peer = {readonly id: string; readonly incarnation: string};
 
 type LinksOptions = {
-	/** What this process says of itself to one that connects. */
+	/** Makes the reply to a peer's hello. */
 	readonly welcome: () => MessageOf<'welcome'>;
-	/** Called with the table version that a peer names in its hello. */
+	/** Called with the table version in a peer's hello. */
 	readonly onTableVersion: (version: number) => void;
 	readonly onMessage: (message: LinkMessage, send: Send) => void;
 	readonly onLost: (send: Send) => void;
 	readonly warn: (message: string) => void;
 };
 
-/** The links that entries, operators and ranks have opened to a target process. */
+/** The links that entries, operators and other ranks have opened to a target process. */
 export class PeerLinks {
 	private readonly peers = new Map<LinkConnection, Peer>();
 
@@ -33,7 +33,7 @@
 		}
 	}
 
-	/** Takes a new connection; nothing is heard on it before its hello. */
+	/** Takes over a new connection; one that sends any message before its hello is closed. */
 	accept(connection: LinkConnection): void {
 		const send: Send = message => connection.send(message);
 		connection.onMessage(message => {
@@ -57,7 +57,7 @@
 
 	private handleHello(hello: MessageOf<'hello'>, connection: LinkConnection): void {
 		if (hello.protocol !== linkProtocolVersion) {
-			this.options.warn(`${hello.id} speaks another version of the protocol`);
+			this.options.warn(`${hello.id} uses an unsupported version of the link protocol; link closed`);
 			connection.destroy();
 			return;
 		}
@@ -68,7 +68,7 @@
 		connection.send(this.options.welcome());
 	}
 
-	/* What an older connection of the same process still holds must not arrive after what it says on this one. */
+	/* Messages still in flight on an older connection of the same process must not arrive after newer ones on this connection. */
 	private closeOlderLinks(hello: MessageOf<'hello'>): void {
 		for (const [connection, peer] of this.peers) {
 			if (peer.id === hello.id && peer.incarnation === hello.incarnation) {
--- a/src/target/record-table.ts
+++ b/src/target/record-table.ts
@@ -1,19 +1,20 @@
 import {type Execution} from './execution.js';
 
 type RecordTableOptions = {
-	/** Ended requests and tombstones kept at most. */
+	/** Limit on the number of ended requests and tombstones together. */
 	readonly maximum: number;
-	/** Age below which a tombstone or the record of a key is never dropped, milliseconds. */
+	/** Age below which a tombstone, or the record of a request with a key, is never evicted, milliseconds. */
 	readonly minimumAgeMs: number;
 };
 
+/** When a request ended or was given a tombstone, milliseconds since the epoch. */
 type Timestamped = {readonly at: number};
 
 /**
- * What a target process remembers of requests: those that run, those that ended, and those that must never start.
+ * The requests that a target process knows: waiting and running ones, ended ones, and tombstones of those that must never start.
  *
- * The memory is bounded. When it is full of what may not be forgotten yet, `isFull` says so and new requests that
- * may run only once are refused, rather than an old one being forgotten.
+ * The number of records is bounded. While it is full of records that may not be evicted yet, new requests that may run
+ * only once are refused: evicting an old record could let its request run a second time.
  */
 export class RecordTable {
 	private readonly executions = new Map<string, Execution>();
@@ -23,10 +24,12 @@
 
 	constructor(private readonly options: RecordTableOptions) {}
 
+	/** Whether the maximum is reached. */
 	get isFull(): boolean {
 		return this.tombstones.size + this.ended.size >= this.options.maximum;
 	}
 
+	/** Number of requests and tombstones. */
 	get size(): number {
 		return this.executions.size + this.tombstones.size;
 	}
@@ -35,11 +38,12 @@
 		return this.executions.get(`${id}/${attempt}`);
 	}
 
+	/** Returns the request with an idempotency key or ticket. */
 	getByKey(key: string): Execution | undefined {
 		return this.byKey.get(key);
 	}
 
-	/** All requests known, ended ones included. */
+	/** Lists all requests, ended ones included. */
 	list(): Iterable<Execution> {
 		return this.executions.values();
 	}
@@ -52,14 +56,14 @@
 		}
 	}
 
-	/** Notes that a request ended; it may be forgotten from now on, oldest first. */
+	/** Notes that a request ended; from now on it may be evicted, oldest first. */
 	noteEnd(execution: Execution, now: number): void {
 		const {id, attempt} = execution.request;
 		this.ended.set(`${id}/${attempt}`, {at: now});
 		this.evictOld(now);
 	}
 
-	/** Forgets a request that never started. */
+	/** Removes a request; no tombstone is left. */
 	remove(execution: Execution): void {
 		const {id, attempt, once} = execution.request;
 		this.executions.delete(`${id}/${attempt}`);
@@ -69,9 +73,10 @@
 	}
 
 	/**
-	 * Makes sure that the named request never starts here.
+	 * Records that a request must never start here.
 	 *
-	 * @returns false when there is no room to remember it, so nothing may be promised
+	 * @param name - `ID/ATTEMPT`, or the owner of a key
+	 * @returns false when there is no room for the tombstone, so that the request may still start
 	 */
 	addTombstone(name: string, now: number): boolean {
 		this.evictOld(now);
@@ -105,7 +110,7 @@
 		}
 	}
 
-	/* An ended request that may be repeated can go at any time; the others only once they are old. */
+	/* An ended request without a key may be evicted at any time; the others only at the minimum age. */
 	private mayEvict(name: string): boolean {
 		const execution = this.executions.get(name);
 		return execution !== undefined && execution.request.once === undefined;
--- a/src/target/request-controller.ts
+++ b/src/target/request-controller.ts
@@ -13,30 +13,31 @@
 	readonly incarnation: string;
 	readonly queue: AdmissionQueue;
 	readonly records: RecordTable;
+	/** Bytes of an answer that are buffered at most. */
 	readonly replayBytes: number;
-	/** How long a request that nobody reads goes on, milliseconds. */
+	/** How long a request without a reader keeps running, and an unread answer is kept, milliseconds. */
 	readonly resumeMs: number;
 	readonly clock: () => number;
 	readonly isLeaving: () => boolean;
-	/** Calls the engine and pushes the answer; rejects when it breaks off. */
+	/** Sends the request to the engine and adds its answer to the execution; rejects when the answer breaks off. */
 	readonly runOnEngine: (execution: Execution) => Promise<void>;
 	readonly onIdle: () => void;
 };
 
-/** The serial point before an engine: decides for every request whether it starts, waits, joins another or is refused. */
+/** Handles all requests to one engine, one message at a time: decides whether each starts, waits, joins another or is refused. */
 export class RequestController {
 	private readonly waiting = new Map<string, {execution: Execution; send: Send}>();
-	/** Requests that run, or whose answer has not been read to its end. */
+	/** Requests that are running, or whose answer has not been acknowledged to its end. */
 	private readonly active = new Set<Execution>();
 
 	constructor(private readonly options: ControllerOptions) {}
 
-	/** Whether no request waits or runs and no answer is still to be read. */
+	/** Whether no request is waiting or running and every answer is acknowledged or given up. */
 	get isIdle(): boolean {
 		return this.waiting.size === 0 && this.active.size === 0;
 	}
 
-	/** Handles a message of an entry; `send` answers on the same link. */
+	/** Handles a message from an entry; `send` replies on the same link. */
 	receive(message: LinkMessage, send: Send, now: number): void {
 		switch (message.type) {
 			case 'request': {
@@ -68,14 +69,14 @@
 		}
 	}
 
-	/** Notes that a link was lost; its answers are kept for a while. */
+	/** Removes the readers of a lost link; their answers are kept for `resumeMs`, so that the entry can resume. */
 	handleLostLink(send: Send, now: number): void {
 		for (const execution of [...this.active, ...[...this.waiting.values()].map(waiting => waiting.execution)]) {
 			execution.removeReaders(reader => reader.send === send, now);
 		}
 	}
 
-	/** Refuses what waited past its deadline and ends what nobody reads any more. */
+	/** Refuses requests that have waited past their deadline, and ends those without a reader. To be called at short intervals. */
 	tick(now: number): void {
 		for (const {id} of this.options.queue.dropLate(now)) {
 			this.refuseWaiting(id, 'late', now);
@@ -150,7 +151,7 @@
 		}
 	}
 
-	/* Refusing a request that may run only once is final: a late copy of it is refused too. */
+	/* The refusal of a request that may run only once is recorded, so that a late copy of it is refused too. */
 	private refuse(request: MessageOf<'request'>, send: Send, reason: Reason, now: number, retryAfterMs = 0): void {
 		const {once, id, attempt} = request;
 		const known = once && this.options.records.getByKey(once.key);
@@ -189,7 +190,7 @@
 		});
 	}
 
-	/* An entry that resumes a request we never saw has lost it on the way: it is buried, so that it did not run is a fact. */
+	/* A resume for an unknown request means that the request was lost with its link. A tombstone makes sure that it will not run if it still arrives. */
 	private resume({id, attempt, sequence}: MessageOf<'resume'>, send: Send, now: number): void {
 		const execution = this.options.records.get(id, attempt);
 		if (execution?.addReader({id, attempt, send}, sequence)) {
@@ -211,7 +212,7 @@
 			});
 	}
 
-	/* A second copy of a keyed request joins the first, or learns that the first never came and never will. */
+	/* A second copy of a keyed request reads the answer of the first. If the first never arrived, a tombstone makes sure that it will not start. */
 	private attach({id, attempt, key, owner}: MessageOf<'attach'>, send: Send, now: number): void {
 		const execution = this.options.records.getByKey(key);
 		if (execution?.addReader({id, attempt, send}, 0)) {
--- a/src/target/running-target.ts
+++ b/src/target/running-target.ts
@@ -1,5 +1,6 @@
 import {type MessageOf} from '../link/message-of.js';
 
+/** Document of `/status`, encoded as JSON. */
 type TargetStatus = {
 	readonly id: string;
 	readonly service: string;
@@ -10,17 +11,17 @@
 	readonly links: number;
 };
 
-/** A target process that has started. */
+/** Handle of a started target process. */
 export type RunningTarget = {
 	readonly linkPort: number;
 	readonly adminPort: number;
 	readonly incarnation: string;
-	/** Document of `/status`. */
+	/** Makes the document of `/status`. */
 	readonly getStatus: () => TargetStatus;
-	/** Resolves once the target has stopped, by order or by `stop`. */
+	/** Resolves once the target has stopped, after a `stop` message or a call of `stop`. */
 	readonly stopped: Promise<void>;
-	/** Planned stop: takes nothing new, ends what runs, then closes. */
+	/** Planned stop: accepts no new requests, lets the running ones end, then closes. */
 	stop(): Promise<void>;
-	/** Ends at once, as a crash would. */
+	/** Stops at once without draining, as a crash would. */
 	kill(): Promise<void>;
 };
--- a/src/target/start-target.ts
+++ b/src/target/start-target.ts
@@ -24,14 +24,16 @@
 import {type RunningTarget} from './running-target.js';
 
 const logger = getLogger('target');
+/** Age below which tombstones and records of keys are never evicted, milliseconds. */
 const minimumTombstoneAgeMs = 600_000;
-/** Time between two load reports. Since a busy target refuses at once, older reports cost little and fewer save bytes. */
+/** Interval of load reports, milliseconds. A busy target refuses at once, so stale reports do little harm and rare ones save bandwidth. */
 const loadReportIntervalMs = 8000;
+/** Interval at which deadlines and lost readers are checked, milliseconds. */
 const tickIntervalMs = 100;
-/** Longest wait for a peer to take the last bytes of a link, milliseconds. */
+/** How long to wait at a planned stop for peers to receive the last messages, milliseconds. */
 const closeTimeoutMs = 2000;
 
-/** Starts a target process: the links to entries, the controllers, and the admin server. */
+/** Starts a target process: the listener for links, the controllers, and the admin server. */
 export async function startTarget(settings: TargetSettings, clock: () => number): Promise<RunningTarget> {
 	const incarnation = makeIncarnation(clock());
 	const metrics = new ProcessMetrics();
@@ -57,7 +59,7 @@
 		clearTimeout(stopTimer);
 		if (lifecycle.state === 'leaving') {
 			stopTimer = setTimeout(() => {
-				logger.warn('what still runs is cut off, the longest wait is over');
+				logger.warn('stop time-out reached; links are closed while requests still run');
 				lifecycle.noteDrained();
 				void close();
 			}, settings.stopMs);
@@ -191,7 +193,7 @@
 			links.accept(connection);
 		},
 		onRejection(reason) {
-			logger.warn(`peer turned away: ${reason}`);
+			logger.warn(`link rejected: ${reason}`);
 		},
 	});
 	const getStatus: RunningTarget['getStatus'] = () => ({
@@ -219,7 +221,7 @@
 		member?.close();
 		clearInterval(ticker);
 		clearInterval(reporter);
-		// The last parts of answers leave before the links do.
+		// Links are drained first, so that the last parts of answers are sent.
 		await listener.drain(closeTimeoutMs);
 		admin.close();
 		await dispatcher.close();
