--- a/features/drain.feature
+++ b/features/drain.feature
@@ -1,39 +1,39 @@
-Feature: A leaving target takes nothing new, and a planned stop cuts nothing off
+Feature: A leaving target accepts no new requests, and a planned stop interrupts none
 
   Scenario: A stream runs to its end while its target stops
-    Given a running system whose engines pace their answers
+    Given a running system whose engines advance step by step
     When a caller asks "stone-drafts" for 6 tokens about "granite" as a stream
     And the target that runs it is told to stop
     And the engines run 10 steps
     Then the reply has status 200
-    And the reply is a whole stream of 6 tokens about "granite"
+    And the reply is a complete stream of 6 tokens about "granite"
     And that target has stopped by itself
 
-  Scenario: The platform is away during a planned stop
-    Given a running system whose engines pace their answers
+  Scenario: The platform is unavailable during a planned stop
+    Given a running system whose engines advance step by step
     And the platform is down
     When a caller asks "stone-drafts" for 6 tokens about "granite" as a stream
     And the target that runs it is told to stop
     And the engines run 10 steps
-    Then the reply is a whole stream of 6 tokens about "granite"
+    Then the reply is a complete stream of 6 tokens about "granite"
     And that target has stopped by itself
 
-  Scenario: The link is lost during a planned stop, and comes back for the rest
-    Given a running system whose engines pace their answers
+  Scenario: The link is lost during a planned stop and reconnects for the rest of the answer
+    Given a running system whose engines advance step by step
     When a caller asks "stone-drafts" for 6 tokens about "granite" as a stream
     And the target that runs it is told to stop
-    And every link to targets is cut
+    And every link to targets is lost
     And the engines run 10 steps
-    Then the reply is a whole stream of 6 tokens about "granite"
+    Then the reply is a complete stream of 6 tokens about "granite"
     And that target has stopped by itself
 
-  Scenario: A burst while one target after another stops
+  Scenario: Requests keep arriving while one target after another stops
     Given a running system
     When targets "stone-drafts-0" and "stone-drafts-2" stop during 60 requests
     Then all 60 replies have status 200
-    And the stopped targets ran nothing after their stop began
+    And the stopped targets accepted no requests after their stop began
 
-  Scenario: An entry that has not heard sends to a leaving target
+  Scenario: An entry sends to a leaving target before it knows that the target is leaving
     Given an entry linked to a target
     When the target is told to stop
     And the entry sends a request
@@ -41,29 +41,29 @@
     And the engine has run 0 requests
 
   Scenario: An entry stops with a stream open
-    Given a running system whose engines pace their answers
+    Given a running system whose engines advance step by step
     When a caller asks "stone-drafts" for 6 tokens about "granite" as a stream
-    And a run has begun
+    And an engine runs the request
     And the entry is told to stop
     And the engines run 10 steps
-    Then the reply is a whole stream of 6 tokens about "granite"
+    Then the reply is a complete stream of 6 tokens about "granite"
 
-  Scenario: A caller that leaves frees the engine
-    Given a running system whose engines pace their answers
-    When a caller asks "stone-drafts" for 50 tokens about "granite" and leaves
-    Then no engine runs anything
+  Scenario: The engine is freed when the caller disconnects
+    Given a running system whose engines advance step by step
+    When a caller asks "stone-drafts" for 50 tokens about "granite" and disconnects
+    Then no engine runs a request
 
-  Scenario: A stream whose target dies is visibly broken
-    Given a running system whose engines pace their answers
+  Scenario: A stream breaks off visibly when its target crashes
+    Given a running system whose engines advance step by step
     When a caller asks "stone-drafts" for 50 tokens about "granite" as a stream
     And the engines run 3 steps
-    And the target that runs it dies
-    Then the reply is visibly broken
+    And the target that runs it crashes
+    Then the reply breaks off visibly
 
-  Scenario: A target dies before it answered, and the request may be repeated
-    Given a running system that waits 200 ms for a lost link, whose engines pace their answers
+  Scenario: A target crashes before it has answered, and the request may be repeated
+    Given a running system that waits 200 ms for a lost link, whose engines advance step by step
     When a caller asks "stone-drafts" for 3 tokens about "granite"
-    And a run has begun
-    And the target that runs it dies
+    And an engine runs the request
+    And the target that runs it crashes
     And the engines run 60 steps
     Then the reply has status 200
--- a/features/not-run.feature
+++ b/features/not-run.feature
@@ -1,17 +1,17 @@
-Feature: "Not run" is said only when it is proved, and an answer is whole or visibly broken
+Feature: A request is reported as not run only when it can never run, and an answer is complete or visibly broken off
 
   Background:
     Given an entry linked to a target
 
-  Scenario: The link is cut with the request still on its way
+  Scenario: The link is lost while the request is in flight
     When the link holds messages back
     And the entry sends a request
-    And the link is cut and comes back
+    And the link is lost and reconnects
     Then the call ends as refused for "unknown-call"
-    When the request arrives after all
+    When the delayed request arrives
     Then the engine has run 0 requests
 
-  Scenario: A cancel overtakes its request
+  Scenario: A cancel arrives before its request
     When the link holds messages back
     And the entry sends a request
     And the entry cancels it
@@ -19,7 +19,7 @@
     Then the call ends as cancelled before it started
     And the engine has run 0 requests
 
-  Scenario: A cancel of a running request does not claim that it did not run
+  Scenario: A cancelled request that was running is not reported as not run
     When the entry sends a request
     And the entry cancels it
     Then the call ends as cancelled after it started
@@ -30,67 +30,67 @@
     And the target process is replaced
     Then the call ends as lost after "ab"
 
-  Scenario: The link stays away for too long
+  Scenario: The link is lost for longer than calls wait for it
     When the entry sends a request
-    And the link is cut and stays away for 6 seconds
+    And the link is lost for 6 seconds
     Then the call ends as lost after ""
 
-  Scenario: An answer goes on after the link came back
+  Scenario: An answer resumes after the link reconnects
     When the entry sends a request
     And the engine writes "a" and "b"
-    And the link is cut and comes back
+    And the link is lost and reconnects
     And the engine writes "c" and ends
-    Then the call ends whole with "abc"
+    Then the call ends with the complete answer "abc"
 
-  Scenario: Parts arrive late, twice and out of order
+  Scenario: Parts of an answer arrive late, duplicated and out of order
     When the link holds messages back
     And the entry sends a request
     And the request arrives
     And the engine writes the letters of "granite ledge" and ends
-    And the parts of the answer arrive shuffled and twice
-    Then the call ends whole with "granite ledge"
+    And the parts of the answer arrive duplicated and out of order
+    Then the call ends with the complete answer "granite ledge"
 
-  Scenario: An answer to an earlier attempt is not ours
+  Scenario: An answer to another attempt is ignored
     When the entry sends a request
-    And a whole answer to another attempt arrives
+    And a complete answer to another attempt arrives
     And the engine writes "c" and "d"
     And the engine writes "e" and ends
-    Then the call ends whole with "cde"
+    Then the call ends with the complete answer "cde"
 
-  Scenario: The entry paused between its claim and sending, and the claim has expired
+  Scenario: The entry is suspended between claiming a key and sending, and the claim expires
     When the entry sends a request with key "k" whose claim has expired
     Then the call ends as refused for "expired"
     And the engine has run 0 requests
 
-  Scenario: The request was meant for the process before this one
+  Scenario: The request was meant for an earlier incarnation of the target
     When the target process is replaced
     And the entry sends a request with key "k"
     Then the call ends as refused for "incarnation"
     And the engine has run 0 requests
 
-  Scenario: An owner that was paused comes after another took its key over
-    When a second copy of key "k" asks for the run of owner "slow"
-    Then the second copy learns that it is "absent"
+  Scenario: The owner of a key sends its request after another copy has taken the key over
+    When a second copy of key "k" asks for the answer of owner "slow"
+    Then the second copy is told that the run is "absent"
     When the entry sends a request with key "k" of owner "slow"
     Then the call ends as refused for "cancelled"
     And the engine has run 0 requests
 
   Scenario: A second copy joins the run of the first
     When the entry sends a request with key "k" of owner "first"
-    And a second copy of key "k" asks for the run of owner "first"
+    And a second copy of key "k" asks for the answer of owner "first"
     And the engine writes "a" and "b"
     And the engine writes "c" and ends
-    Then the call ends whole with "abc"
-    And the second copy gets "abc"
+    Then the call ends with the complete answer "abc"
+    And the second copy receives "abc"
     And the engine has run 1 requests
 
-  Scenario: The same key comes again in the name of another owner
+  Scenario: A key is sent again by another owner
     When the entry sends a request with key "k" of owner "first"
     And the entry sends a request with key "k" of owner "second"
     Then the call ends as refused for "duplicate"
     And the engine has run 1 requests
 
-  Scenario: What was refused once stays refused
+  Scenario: A refused request stays refused
     When the target is told to stop
     And the entry sends a request with key "k" of owner "first"
     Then the call ends as refused for "leaving"
@@ -98,8 +98,8 @@
     And a late copy of that request arrives
     Then the engine has run 0 requests
 
-  Scenario: A target without room to remember promises nothing
-    Given a target that remembers 1 record
-    When a second copy of key "a" asks for the run of owner "one"
-    And a second copy of key "b" asks for the run of owner "two"
-    Then the second copy learns nothing
+  Scenario: A target without room for a record does not promise that a request will not run
+    Given a target with room for 1 record
+    When a second copy of key "a" asks for the answer of owner "one"
+    And a second copy of key "b" asks for the answer of owner "two"
+    Then the call of the second copy breaks off
--- a/features/path.feature
+++ b/features/path.feature
@@ -1,24 +1,24 @@
-Feature: A request goes through an entry to a target and its answer comes back whole
+Feature: Requests are routed through an entry to a target, and answers are relayed completely
 
-  Scenario: A streamed answer of a model
+  Scenario: A model's answer is streamed
     Given a running system
     When a caller asks "stone-drafts" for 5 tokens about "granite" as a stream
     Then the reply has status 200
-    And the reply is a whole stream of 5 tokens about "granite"
+    And the reply is a complete stream of 5 tokens about "granite"
 
-  Scenario: An answer of a model in one piece
+  Scenario: A model's answer is returned in one piece
     Given a running system
     When a caller asks "stone-drafts" for 3 tokens about "slate"
     Then the reply has status 200
-    And the reply is whole and contains "slate#0 slate#1 slate#2 "
+    And the reply is complete and contains "slate#0 slate#1 slate#2 "
 
-  Scenario: A call of a plain service
+  Scenario: A request to a plain service
     Given a running system
     When a caller posts "release 7" to "yard-dispatch" at "/tickets?yard=3"
     Then the reply has status 200
-    And the reply is whole and contains "/tickets?yard=3"
+    And the reply is complete and contains "/tickets?yard=3"
 
-  Scenario Outline: A request that cannot be served says that it did not run
+  Scenario Outline: A request that cannot be served is reported as not run
     Given a running system
     When a caller sends <method> "<path>" with token "<token>" and body '<body>'
     Then the reply is a problem with status <status>, outcome "not-run" and a detail about "<detail>"
@@ -33,14 +33,14 @@
       | GET    | /services/                   | granite-token |                   | 404    | expected     |
       | POST   | /v1/embeddings               | granite-token | {}                | 404    | expected     |
 
-  Scenario: A peer without the key is turned away
+  Scenario: A peer with another key is rejected
     Given a running system
     When a peer with another key connects to a target
-    Then the peer is turned away
+    Then the peer is rejected
     And a caller asks "stone-drafts" for 2 tokens about "granite"
     And the reply has status 200
 
-  Scenario Outline: A peer that breaks the protocol loses its link and nothing else
+  Scenario Outline: Only the link of a peer that violates the protocol is closed
     Given a running system
     When a peer sends a frame that is "<fault>"
     Then its link is closed
@@ -51,5 +51,5 @@
       | fault                      |
       | oversized                  |
       | not CBOR                   |
-      | of no known type           |
+      | of an unknown type         |
       | a request before its hello |
--- a/features/steps/admission-steps.ts
+++ b/features/steps/admission-steps.ts
@@ -55,23 +55,23 @@
 	this.notes.set('scenario', {...this.notes.get('scenario') as LoadScenario, streamsPerSecond});
 });
 
-Given('demand that stands still', function (this: SystemWorld) {
+Given('demand that does not shift', function (this: SystemWorld) {
 	this.notes.set('scenario', {...this.notes.get('scenario') as LoadScenario, shift: undefined});
 });
 
-When('it is played with {int} seeds', function (this: SystemWorld, seeds: number) {
+When('the load is simulated with {int} seeds', function (this: SystemWorld, seeds: number) {
 	const scenario = this.notes.get('scenario') as LoadScenario;
 	const play = (policy: typeof policies.none): LoadResult[] => Array.from({length: seeds}, (_seed, index) => playLoad(scenario, index + 1, policy));
 	this.notes.set('played', {with: play(policies.pauses), without: play(policies.none)});
 });
 
-Then('the worth is at least {float} above that without admission', function (this: SystemWorld, gain: number) {
+Then('the worth is at least {float} above that without admission control', function (this: SystemWorld, gain: number) {
 	const played = getComparison(this);
 	const [worth, before] = [mean(played.with, 'worth'), mean(played.without, 'worth')];
 	assert.ok(worth >= before + gain, `${worth} after ${before}`);
 });
 
-Then('nobody is refused twice', function (this: SystemWorld) {
+Then('no caller is refused twice', function (this: SystemWorld) {
 	assert.equal(mean(getComparison(this).with, 'refused'), 0);
 });
 
@@ -87,17 +87,17 @@
 	observePauses(this, gapMs, this.notes.get('load') as number, forMs);
 });
 
-Then('at least {int} in 100 of the requests before are admitted at each target', function (this: SystemWorld, share: number) {
+Then('at least {int} in 100 of the requests admitted before are admitted at each target', function (this: SystemWorld, share: number) {
 	const before = this.notes.get('most') as number;
 	assert.ok(getMaximumLoad(this) >= before * share / 100, `${getMaximumLoad(this)} after ${before}`);
 });
 
-Then('at most {int} in 100 of the requests before are admitted at each target', function (this: SystemWorld, share: number) {
+Then('at most {int} in 100 of the requests admitted before are admitted at each target', function (this: SystemWorld, share: number) {
 	const before = this.notes.get('most') as number;
 	assert.ok(getMaximumLoad(this) <= before * share / 100, `${getMaximumLoad(this)} after ${before}`);
 });
 
-Then('a forecast without observations admits a stream with {int} under way', (inFlight: number) => {
+Then('a forecast without observations admits a stream with {int} in flight', (inFlight: number) => {
 	const admission = admitStream({
 		forecast: new PauseForecast(), pace, targetGapMs, inFlight, targets: 12, isLate: false,
 	});
@@ -120,7 +120,7 @@
 	assert.ok(outcome.stderr.includes(key), outcome.stderr);
 });
 
-Then('a caller who has just asked is admitted where one who comes back is not', function (this: SystemWorld) {
+Then('a first request is admitted at a load at which a retry is not', function (this: SystemWorld) {
 	const targets = 12;
 	const admit = (inFlight: number, isLate: boolean): string => admitStream({
 		forecast: getForecast(this), pace, targetGapMs, inFlight, targets, isLate,
@@ -148,11 +148,11 @@
 const tickMs = 100;
 const routes: Readonly<Record<string, Route>> = {
 	'a stream': route,
-	'a stream without promise on pauses': {...route, targetGapMs: undefined},
+	'a stream without a limit on pauses': {...route, targetGapMs: undefined},
 	'a request in one piece': {...route, kind: 'idempotent'},
 };
 
-Given('an entry that has seen pauses of {int} ms, with {int} streams at each of {int} targets', function (this: SystemWorld, gapMs: number, streams: number, targets: number) {
+Given('an entry that has measured pauses of {int} ms, with {int} streams at each of {int} targets', function (this: SystemWorld, gapMs: number, streams: number, targets: number) {
 	const board = new LoadBoard();
 	const directory = new TargetDirectory();
 	const list = Array.from({length: targets}, (_target, index) => Target.parse({
@@ -179,38 +179,38 @@
 	});
 });
 
-When('{int} of them refuse what they are sent', function (this: SystemWorld, count: number) {
+When('{int} of them refuse requests', function (this: SystemWorld, count: number) {
 	const {list, refusing} = this.notes.get('entry') as {list: readonly Target[]; refusing: Set<string>};
 	for (const {id} of list.slice(0, count)) {
 		refusing.add(id);
 	}
 });
 
-When('a peer has {int} more at each of {int} others', function (this: SystemWorld, streams: number, count: number) {
+When('a peer has {int} more streams at each of {int} others', function (this: SystemWorld, streams: number, count: number) {
 	const {board, list} = this.notes.get('entry') as {board: LoadBoard; list: readonly Target[]};
 	board.merge('peer', Object.fromEntries(list.slice(-count).map(({id}) => [id, streams])), 2000);
 });
 
-Given('a peer with {int} more at each target', function (this: SystemWorld, streams: number) {
+Given('a peer with {int} more streams at each target', function (this: SystemWorld, streams: number) {
 	const {board, list} = this.notes.get('entry') as {board: LoadBoard; list: readonly Target[]};
 	board.merge('peer', Object.fromEntries(list.map(({id}) => [id, streams])), 2000);
 });
 
-Then('asking for {string} is {string}', function (this: SystemWorld, what: string, answer: string) {
+Then('a request for {string} is {string}', function (this: SystemWorld, what: string, answer: string) {
 	const {admission, list} = this.notes.get('entry') as {admission: StreamAdmission; list: readonly Target[]};
 	const reason = admission.findRoom(list, routes[what], 8000, 2000).refusal;
 	assert.equal(reason === undefined ? 'admitted' : 'refused', answer, reason);
 	assert.ok(reason === undefined || reason.includes('84 streams under way'), reason);
 });
 
-Then('a stream is {string}, by what the others have under way', function (this: SystemWorld, answer: string) {
+Then('a stream is {string}, by the load of the others', function (this: SystemWorld, answer: string) {
 	const {admission, list} = this.notes.get('entry') as {admission: StreamAdmission; list: readonly Target[]};
 	const reason = admission.findRoom(list, route, 8000, 2000).refusal;
 	assert.equal(reason === undefined ? 'admitted' : 'refused', answer, reason);
 	assert.ok(reason === undefined || reason.includes('36 streams under way'), reason);
 });
 
-Given('an entry that has seen pauses of {int} ms in one group of {int} targets and of {int} ms in another', function (this: SystemWorld, evenMs: number, targets: number, unevenMs: number) {
+Given('an entry that has measured pauses of {int} ms in one group of {int} targets and of {int} ms in another', function (this: SystemWorld, evenMs: number, targets: number, unevenMs: number) {
 	const board = new LoadBoard();
 	const directory = new TargetDirectory();
 	const list = ['even', 'uneven'].flatMap((group, half) => Array.from({length: targets}, (_target, index) => Target.parse({
--- a/features/steps/drain-steps.ts
+++ b/features/steps/drain-steps.ts
@@ -5,7 +5,7 @@
 import {sendRequest} from '../support/send-request.js';
 import {type SystemWorld} from '../support/system-world.js';
 
-/** Time for messages between the steps of an engine; a step more or less does no harm. */
+/** Pause between two steps of the engines, milliseconds, in which messages are delivered; the scenarios hold with a step more or less. */
 const stepPauseMs = 5;
 
 const findRunning = async (world: SystemWorld): Promise<string> => {
@@ -25,11 +25,11 @@
 	});
 };
 
-Given('a running system whose engines pace their answers', async function (this: SystemWorld) {
+Given('a running system whose engines advance step by step', async function (this: SystemWorld) {
 	await this.startSystem({isPaced: true});
 });
 
-Given('a running system that waits {int} ms for a lost link, whose engines pace their answers', async function (this: SystemWorld, ms: number) {
+Given('a running system that waits {int} ms for a lost link, whose engines advance step by step', async function (this: SystemWorld, ms: number) {
 	await this.startSystem({isPaced: true, entrySettings: {requests: {resumeMs: ms}}});
 });
 
@@ -38,12 +38,12 @@
 	this.notes.set('stop', this.system.targets.get(id)!.target.stop());
 });
 
-When('the target that runs it dies', async function (this: SystemWorld) {
+When('the target that runs it crashes', async function (this: SystemWorld) {
 	const id = await findRunning(this);
 	await this.system.targets.get(id)!.target.kill();
 });
 
-When('a run has begun', async function (this: SystemWorld) {
+When('an engine runs the request', async function (this: SystemWorld) {
 	await findRunning(this);
 });
 
@@ -55,7 +55,7 @@
 	}
 });
 
-When('every link to targets is cut', function (this: SystemWorld) {
+When('every link to targets is lost', function (this: SystemWorld) {
 	for (const entry of this.system.entries.values()) {
 		entry.disconnectTargets();
 	}
@@ -85,7 +85,7 @@
 	this.notes.set('runsAtStop', runsAtStop);
 });
 
-When('a caller asks {string} for {int} tokens about {string} and leaves', async function (this: SystemWorld, _model: string, tokens: number, _about: string) {
+When('a caller asks {string} for {int} tokens about {string} and disconnects', async function (this: SystemWorld, _model: string, tokens: number, _about: string) {
 	const abort = new AbortController();
 	const reply = sendChat(this, tokens, abort.signal);
 	await findRunning(this);
@@ -102,18 +102,18 @@
 	assert.equal(replies.filter(reply => reply.status === status && reply.isComplete).length, count);
 });
 
-Then('the stopped targets ran nothing after their stop began', function (this: SystemWorld) {
+Then('the stopped targets accepted no requests after their stop began', function (this: SystemWorld) {
 	for (const [id, runs] of this.notes.get('runsAtStop') as Map<string, number>) {
-		// What the target had admitted may reach its engine after the order to stop; nothing else may.
+		// Requests that the target had admitted may reach its engine after the stop began; no others may.
 		assert.ok(this.system.engines.get(id)!.runs.size <= runs, `${id} ran ${this.system.engines.get(id)!.runs.size}, ${runs} at its stop`);
 	}
 });
 
-Then('no engine runs anything', async function (this: SystemWorld) {
+Then('no engine runs a request', async function (this: SystemWorld) {
 	await this.system.until('every engine is free', () => [...this.system.engines.values()].every(({active}) => active.size === 0));
 });
 
-Then('the reply is visibly broken', async function (this: SystemWorld) {
+Then('the reply breaks off visibly', async function (this: SystemWorld) {
 	const reply = await this.replies.get('last')!;
 	assert.equal(reply.isComplete, false);
 	assert.ok(!reply.text.includes('[DONE]'));
--- a/features/steps/not-run-steps.ts
+++ b/features/steps/not-run-steps.ts
@@ -44,7 +44,7 @@
 	await openPair(this);
 });
 
-Given('a target that remembers {int} record', async function (this: SystemWorld, records: number) {
+Given('a target with room for {int} record', async function (this: SystemWorld, records: number) {
 	await openPair(this, records);
 });
 
@@ -85,14 +85,14 @@
 	link.deliverToTarget(link.toTarget.shift()!);
 });
 
-When('the link is cut and comes back', async function (this: SystemWorld) {
+When('the link is lost and reconnects', async function (this: SystemWorld) {
 	const pair = getPair(this);
 	pair.link.disconnect();
 	pair.link.isHolding = false;
 	await waitForLink(pair);
 });
 
-When('the link is cut and stays away for {int} seconds', function (this: SystemWorld, seconds: number) {
+When('the link is lost for {int} seconds', function (this: SystemWorld, seconds: number) {
 	const pair = getPair(this);
 	pair.link.isDown = true;
 	pair.link.disconnect();
@@ -100,7 +100,7 @@
 	pair.entry.tick(pair.now);
 });
 
-When('the request arrives after all', function (this: SystemWorld) {
+When('the delayed request arrives', function (this: SystemWorld) {
 	const {link} = getPair(this);
 	link.deliverToTarget(link.toTarget.shift()!);
 });
@@ -127,16 +127,16 @@
 	getPair(this).writeAnswer([...text], true);
 });
 
-When('the parts of the answer arrive shuffled and twice', async function (this: SystemWorld) {
+When('the parts of the answer arrive duplicated and out of order', async function (this: SystemWorld) {
 	const {link} = getPair(this);
 	const parts = link.toEntry.splice(0);
 	link.deliverToEntry(shuffle([...parts, ...parts], 11));
-	// The gaps make the entry ask again; from here on the link behaves.
+	// The gaps make the entry ask the target to resume; from here on the link delivers in order.
 	link.deliverHeld();
 	await flush();
 });
 
-When('a whole answer to another attempt arrives', function (this: SystemWorld) {
+When('a complete answer to another attempt arrives', function (this: SystemWorld) {
 	const {id} = this.notes.get('request') as MessageOf<'request'>;
 	const part = {id, attempt: 7};
 	getPair(this).link.deliverToEntry([
@@ -150,7 +150,7 @@
 	]);
 });
 
-When('a second copy of key {string} asks for the run of owner {string}', function (this: SystemWorld, key: string, owner: string) {
+When('a second copy of key {string} asks for the answer of owner {string}', function (this: SystemWorld, key: string, owner: string) {
 	const call = getPair(this).entry.request({
 		type: 'attach', id: `copy-of-${owner}`, attempt: 1, key, owner,
 	});
@@ -180,7 +180,7 @@
 	assert.deepEqual([text, last.type], [expected, 'lost']);
 });
 
-Then('the call ends whole with {string}', async function (this: SystemWorld, expected: string) {
+Then('the call ends with the complete answer {string}', async function (this: SystemWorld, expected: string) {
 	const {text, last} = await readCall(this);
 	assert.deepEqual([text, last.type], [expected, 'end']);
 });
@@ -189,17 +189,17 @@
 	assert.equal(getPair(this).running.length, count);
 });
 
-Then('the second copy learns that it is {string}', async function (this: SystemWorld, record: string) {
+Then('the second copy is told that the run is {string}', async function (this: SystemWorld, record: string) {
 	const [event] = await (this.notes.get('copy') as Promise<CallEvent[]>);
 	assert.equal(event.type === 'refused' && event.record, record);
 });
 
-Then('the second copy learns nothing', async function (this: SystemWorld) {
+Then('the call of the second copy breaks off', async function (this: SystemWorld) {
 	const [event] = await (this.notes.get('copy') as Promise<CallEvent[]>);
 	assert.equal(event.type, 'broken');
 });
 
-Then('the second copy gets {string}', async function (this: SystemWorld, expected: string) {
+Then('the second copy receives {string}', async function (this: SystemWorld, expected: string) {
 	const events = await (this.notes.get('copy') as Promise<CallEvent[]>);
 	const text = events.map(event => event.type === 'data' ? new TextDecoder().decode(event.chunk) : '').join('');
 	assert.deepEqual([text, events.at(-1)!.type], [expected, 'end']);
--- a/features/steps/path-steps.ts
+++ b/features/steps/path-steps.ts
@@ -61,13 +61,13 @@
 	assert.equal(reply.status, status, reply.text);
 });
 
-Then('the reply is whole and contains {string}', async function (this: SystemWorld, text: string) {
+Then('the reply is complete and contains {string}', async function (this: SystemWorld, text: string) {
 	const reply = await this.replies.get('last')!;
 	assert.ok(reply.isComplete);
 	assert.ok(reply.text.includes(text), reply.text);
 });
 
-Then('the reply is a whole stream of {int} tokens about {string}', async function (this: SystemWorld, count: number, about: string) {
+Then('the reply is a complete stream of {int} tokens about {string}', async function (this: SystemWorld, count: number, about: string) {
 	const reply = await this.replies.get('last')!;
 	assert.ok(reply.isComplete);
 	const events = reply.text.split('\n\n').filter(Boolean);
@@ -97,7 +97,7 @@
 	this.notes.set('peer', outcome);
 });
 
-Then('the peer is turned away', function (this: SystemWorld) {
+Then('the peer is rejected', function (this: SystemWorld) {
 	assert.equal(this.notes.get('peer'), 'closed');
 });
 
@@ -105,7 +105,7 @@
 	const frames: Record<string, Uint8Array> = {
 		oversized: Buffer.from([0xFF, 0xFF, 0xFF, 0xFF]),
 		'not CBOR': frame(Buffer.from([0xFF, 0xFF, 0x00])),
-		'of no known type': frame(encode({type: 'nonsense'})),
+		'of an unknown type': frame(encode({type: 'nonsense'})),
 		'a request before its hello': frame(encode({type: 'cancel', id: 'x', attempt: 1})),
 	};
 	const socket = await connectPeer(this, 'a1'.repeat(32));
--- a/features/steps/process-steps.ts
+++ b/features/steps/process-steps.ts
@@ -12,9 +12,9 @@
 
 type ProcessResult = {readonly code: number; readonly text: string};
 
-/* Runs a binary until it ends; `meanwhile` may talk to it. */
-const runBinary = async (program: string, words: readonly string[], meanwhile?: (child: ReturnType<typeof spawn>) => Promise<void>): Promise<ProcessResult> => {
-	const child = spawn(process.execPath, [`dist/src/bin/${program}.js`, ...words], {stdio: ['ignore', 'pipe', 'pipe']});
+/* Runs a binary until it exits and collects its output; `meanwhile` is called once it has been started. */
+const runBinary = async (program: string, commandArguments: readonly string[], meanwhile?: (child: ReturnType<typeof spawn>) => Promise<void>): Promise<ProcessResult> => {
+	const child = spawn(process.execPath, [`dist/src/bin/${program}.js`, ...commandArguments], {stdio: ['ignore', 'pipe', 'pipe']});
 	let text = '';
 	const collect = (chunk: unknown): void => {
 		text += String(chunk);
@@ -53,7 +53,7 @@
 	}));
 });
 
-Then('it exits with {int} and says {string}', function (this: SystemWorld, code: number, text: string) {
+Then('it exits with {int} and prints {string}', function (this: SystemWorld, code: number, text: string) {
 	const outcome = this.notes.get('run') as ProcessResult;
 	assert.equal(outcome.code, code, outcome.text);
 	assert.ok(outcome.text.includes(text), outcome.text);
--- a/features/support/link-pair.ts
+++ b/features/support/link-pair.ts
@@ -12,18 +12,23 @@
 	type: 'welcome', protocol: 1, id: 'target-1', availabilityZone: 'barre-hall', tableVersion: 0, leaving: false,
 } as const;
 
-/** An entry's link and a target's request controller, joined in memory, on an argument clock, with an engine that the scenario plays. */
+/** An entry's target link and a target's request controller, connected in memory; the scenario sets the time and acts as the engine. */
 export class LinkPair {
+	/** Present time of both sides, milliseconds since the epoch. */
 	now = 1_000_000;
 	readonly link: MemoryLink;
 	readonly entry: TargetLink;
+	/** Requests that the target has sent to its engine, in order. */
 	readonly running: Execution[] = [];
 	isLeaving = false;
 	incarnation = 'life-1';
 	controller: RequestController;
 	private nextId = 0;
 
-	/** @param maximumRecords - ended requests and tombstones that the target remembers */
+	/**
+	 * @param maximumRecords - ended requests and tombstones that the target can keep
+	 * @param concurrency - requests that the target runs at once
+	 */
 	constructor(private readonly maximumRecords = 100, private readonly concurrency = 10) {
 		this.controller = this.makeController();
 		this.link = new MemoryLink(
@@ -54,7 +59,7 @@
 		});
 	}
 
-	/** Makes a request; keyed ones run at most once. */
+	/** Makes a request; with a key it runs at most once. */
 	makeRequest(key?: string, owner?: string): MessageOf<'request'> {
 		const id = owner ?? `request-${this.nextId++}`;
 		return {
@@ -79,14 +84,14 @@
 		};
 	}
 
-	/** Replaces the target process: empty memory, another incarnation. */
+	/** Replaces the target process by one with another incarnation and no records. */
 	replaceTarget(): void {
 		this.incarnation = 'life-2';
 		this.controller = this.makeController();
 		this.link.disconnect();
 	}
 
-	/** Lets the engine write parts of an answer, and end it. */
+	/** Writes the head and parts of an answer as the engine of the last request, and its end if `isLast`. */
 	writeAnswer(words: readonly string[], isLast: boolean): void {
 		const execution = this.running.at(-1)!;
 		execution.addPart({
@@ -101,7 +106,7 @@
 		}
 	}
 
-	/** Adds a part without a head, for an answer that has begun. */
+	/** Writes another part of an answer that has begun, and its end if `isLast`. */
 	continueAnswer(word: string, isLast: boolean): void {
 		const execution = this.running.at(-1)!;
 		execution.addPart({type: 'data', chunk: new TextEncoder().encode(word)});
--- a/features/support/memory-link.ts
+++ b/features/support/memory-link.ts
@@ -1,6 +1,7 @@
 import {type LinkConnection} from '../../src/link/link-connection.js';
 import {type LinkMessage} from '../../src/link/link-message.js';
 
+/** One connection: its close, and the sending of messages to the entry, held back or at once. */
 type Connection = {
 	readonly close: () => void;
 	readonly answer: (message: LinkMessage) => boolean;
@@ -9,33 +10,34 @@
 type Receiver = (message: LinkMessage, answer: (message: LinkMessage) => boolean) => void;
 
 /**
- * A link in memory between an entry and a target, one connection after another. Each direction can hold messages
- * back, so that a scenario delivers them late, twice, in another order, or never.
+ * An in-memory link between an entry and a target, with one connection at a time. Messages of both directions can be
+ * held back, so that a scenario can deliver them late, twice, in another order, or never.
  */
 export class MemoryLink {
-	/** Messages on the way to the target and to the entry while `isHolding`. */
+	/** Messages held back on the way to the target and to the entry. */
 	readonly toTarget: LinkMessage[] = [];
 	readonly toEntry: LinkMessage[] = [];
+	/** Whether messages are held back instead of delivered. */
 	isHolding = false;
-	/** While set, nobody can connect. */
+	/** Whether attempts to connect fail. */
 	isDown = false;
 
 	private current: Connection | undefined;
 
 	/**
-	 * @param onMessage - the target's handler of messages
-	 * @param onDisconnect - the target's handler of a lost connection
+	 * @param onMessage - the target's handler for messages
+	 * @param onDisconnect - the target's handler for a lost connection
 	 */
 	constructor(public onMessage: Receiver, public onDisconnect: (answer: (message: LinkMessage) => boolean) => void) {}
 
-	/** Connects, as `connectLink` does. */
+	/** Opens a connection, in place of `connectLink`. */
 	readonly connect = async (): Promise<LinkConnection> => {
 		if (this.isDown) {
-			throw new Error('away');
+			throw new Error('the link is down');
 		}
 
 		let isOpen = true;
-		let onMessage: (message: LinkMessage) => void = () => undefined;
+		let entryHandler: (message: LinkMessage) => void = () => undefined;
 		const closeHandlers: Array<() => void> = [];
 		const answer = (message: LinkMessage): boolean => {
 			if (!isOpen) {
@@ -45,7 +47,7 @@
 			if (this.isHolding) {
 				this.toEntry.push(message);
 			} else {
-				onMessage(message);
+				entryHandler(message);
 			}
 
 			return true;
@@ -65,7 +67,7 @@
 			close,
 			answer,
 			deliverToEntry(message) {
-				onMessage(message);
+				entryHandler(message);
 			},
 		};
 
@@ -73,8 +75,8 @@
 			get isOpen() {
 				return isOpen;
 			},
-			onMessage(handler: typeof onMessage) {
-				onMessage = handler;
+			onMessage(handler: typeof entryHandler) {
+				entryHandler = handler;
 			},
 			onClose(handler: () => void) {
 				closeHandlers.push(handler);
@@ -92,24 +94,24 @@
 		return connection as unknown as LinkConnection;
 	};
 
-	/** Cuts the connection; what was held back stays in hand. */
+	/** Closes the connection at once; messages held back are kept. */
 	disconnect(): void {
 		this.current?.close();
 	}
 
-	/** Delivers a message to the target now, on the newest connection. */
+	/** Delivers a message to the target at once, on the newest connection. */
 	deliverToTarget(message: LinkMessage): void {
 		this.onMessage(message, this.current!.answer);
 	}
 
-	/** Delivers messages to the entry now. */
+	/** Delivers messages to the entry at once, on the newest connection. */
 	deliverToEntry(messages: readonly LinkMessage[]): void {
 		for (const message of messages) {
 			this.current!.deliverToEntry(message);
 		}
 	}
 
-	/** Ends the holding and delivers what was held, in order. */
+	/** Stops holding messages back and delivers those that were held, in order. */
 	deliverHeld(): void {
 		this.isHolding = false;
 		for (const message of this.toTarget.splice(0)) {
--- a/features/support/reply.ts
+++ b/features/support/reply.ts
@@ -1,9 +1,9 @@
-/** What a caller got. */
+/** The reply to a request as its caller received it. */
 export type Reply = {
-	/** 0: the connection was cut before any answer. */
+	/** HTTP status; 0 if the connection was closed before any answer. */
 	readonly status: number;
 	readonly headers: Readonly<Record<string, unknown>>;
 	readonly text: string;
-	/** Whether the answer ended as HTTP says a whole answer ends. */
+	/** Whether the body ended as HTTP requires of a complete one. */
 	readonly isComplete: boolean;
 };
--- a/features/support/scenario-clock.ts
+++ b/features/support/scenario-clock.ts
@@ -1,9 +1,10 @@
 import {readClock} from '../../src/config/read-clock.js';
 
-/** A clock that scenarios move ahead: the running clock plus what was added. */
+/** The process's clock plus an offset that scenarios increase. */
 export class ScenarioClock {
 	private offsetMs = 0;
 
+	/** Present time, milliseconds since the epoch. */
 	readonly read = (): number => readClock() + this.offsetMs;
 
 	/** Moves the clock ahead by `ms` milliseconds. */
--- a/features/support/send-request.ts
+++ b/features/support/send-request.ts
@@ -11,17 +11,17 @@
 	readonly signal?: AbortSignal;
 };
 
-/** Sends a request as a caller of the organisation `granite` and reads the answer as far as it goes. */
-export async function sendRequest(sent: RequestOptions): Promise<Reply> {
+/** Sends a request as a caller of the organisation `granite` and reads the reply until it ends or breaks off. */
+export async function sendRequest(options: RequestOptions): Promise<Reply> {
 	let status = 0;
 	let headers = {};
 	let text = '';
 	try {
-		const answer = await request(`http://127.0.0.1:${sent.port}${sent.path}`, {
-			method: sent.method ?? 'POST',
-			headers: {authorization: `Bearer ${tokens.granite}`, ...sent.headers},
-			body: sent.body,
-			signal: sent.signal,
+		const answer = await request(`http://127.0.0.1:${options.port}${options.path}`, {
+			method: options.method ?? 'POST',
+			headers: {authorization: `Bearer ${tokens.granite}`, ...options.headers},
+			body: options.body,
+			signal: options.signal,
 		});
 		status = answer.statusCode;
 		({headers} = answer);
--- a/features/support/shuffle.ts
+++ b/features/support/shuffle.ts
@@ -1,7 +1,7 @@
 import {uniformInt} from 'pure-rand/distribution/uniformInt';
 import {xoroshiro128plus} from 'pure-rand/generator/xoroshiro128plus';
 
-/** A copy of a list in an order that the seed decides. */
+/** Returns a copy of a list in a pseudo-random order (Fisher-Yates) that depends only on the seed. */
 export function shuffle<Item>(items: readonly Item[], seed: number): Item[] {
 	const generator = xoroshiro128plus(seed);
 	const shuffled = [...items];
--- a/features/support/system-world.ts
+++ b/features/support/system-world.ts
@@ -8,19 +8,22 @@
 import {ScenarioClock} from './scenario-clock.js';
 import {tokens} from './tokens.js';
 
-/** What the steps of one scenario share. */
+/** State shared by the steps of one scenario. */
 export class SystemWorld extends World {
 	readonly clock = new ScenarioClock();
+	/** Replies that callers wait for or have received, by a name that steps agree on. */
 	readonly replies = new Map<string, Promise<Reply>>();
+	/** Values that steps leave for later steps, by name. */
 	readonly notes = new Map<string, unknown>();
 	private readonly closeHandlers: Array<() => void> = [];
 	private running: System | undefined;
 
+	/** The system that `startSystem` has started. */
 	get system(): System {
 		return this.running!;
 	}
 
-	/** Starts a system; two zones of two entries, four ranks and two workers unless said otherwise. */
+	/** Starts a system: two availability zones with two entries each, four ranks and two workers, unless `options` say otherwise. */
 	async startSystem(options: Partial<SystemOptions> = {}): Promise<void> {
 		const generator = xoroshiro128plus(7);
 		this.running = await startSystem({
@@ -35,14 +38,15 @@
 		});
 	}
 
-	/** Adds what must be ended with the scenario. */
-	onClose(end: () => void): void {
-		this.closeHandlers.push(end);
+	/** Adds a handler that is called when the scenario ends. */
+	onClose(handler: () => void): void {
+		this.closeHandlers.push(handler);
 	}
 
+	/** Calls the handlers and stops the system. */
 	async close(): Promise<void> {
-		for (const end of this.closeHandlers) {
-			end();
+		for (const handler of this.closeHandlers) {
+			handler();
 		}
 
 		await this.running?.close();
--- a/features/support/tokens.ts
+++ b/features/support/tokens.ts
@@ -2,7 +2,7 @@
 
 const hash = (token: string): string => createHash('sha256').update(token).digest('hex');
 
-/** The bearer tokens of the organisations in scenarios, and the table that knows them. */
+/** Bearer tokens of the organisations in scenarios, and a table in CSV with their hashes. */
 export const tokens = {
 	granite: 'granite-token',
 	marble: 'marble-token',
--- a/src/target/start-target.ts
+++ b/src/target/start-target.ts
@@ -65,7 +65,7 @@
 			}, settings.stopMs);
 		}
 
-		logger.info(isLeaving ? 'leaving, nothing new is taken' : 'serving');
+		logger.info(isLeaving ? 'leaving: no new requests are accepted' : 'serving');
 		links.broadcast({type: 'leaving', leaving: isLeaving});
 		drainIfIdle();
 	});
