--- a/src/entry/limit-owner-finder.ts
+++ b/src/entry/limit-owner-finder.ts
@@ -8,7 +8,7 @@
 
 /** Finds the live entry that owns a limit's bucket, by rendezvous hashing. */
 export class LimitOwnerFinder {
-	private readonly owners = new Map<string, {readonly home: string; readonly foundAt: number}>();
+	private readonly owners = new Map<string, {readonly owner: string; readonly foundAt: number}>();
 
 	constructor(private readonly membership: Membership, private readonly clock: () => number) {}
 
@@ -17,7 +17,7 @@
 		const now = this.clock();
 		const cached = this.owners.get(name);
 		if (cached && now - cached.foundAt < cacheMs) {
-			return cached.home;
+			return cached.owner;
 		}
 
 		if (this.owners.size >= maximumCached) {
@@ -25,7 +25,7 @@
 		}
 
 		const [owner] = rankByRendezvous(name, this.membership.listLive(now));
-		this.owners.set(name, {home: owner, foundAt: now});
+		this.owners.set(name, {owner, foundAt: now});
 		return owner;
 	}
 }
--- a/src/entry/start-entry.ts
+++ b/src/entry/start-entry.ts
@@ -105,8 +105,8 @@
 		lender: new Lender(),
 		clock,
 		findHome: name => limitOwners.findOwner(name),
-		ask(home, message) {
-			const vm = membership.getVm(home);
+		ask(owner, message) {
+			const vm = membership.getVm(owner);
 			return vm !== undefined && peers.send(vm, message);
 		},
 		getVisibleShare: () => membership.getVisibleShare(clock()),
--- a/src/requests/filters/make-call-options-filter.ts
+++ b/src/requests/filters/make-call-options-filter.ts
@@ -37,9 +37,9 @@
 }
 
 function readRepetition(exchange: Exchange): Problem | undefined {
-	const word = exchange.headers['wardswitch-repeatable'];
-	if (word !== undefined && word !== 'yes' && word !== 'no') {
-		return makeBadRequest(`Wardswitch-Repeatable: expected "yes" or "no", not "${String(word)}"`);
+	const repeatable = exchange.headers['wardswitch-repeatable'];
+	if (repeatable !== undefined && repeatable !== 'yes' && repeatable !== 'no') {
+		return makeBadRequest(`Wardswitch-Repeatable: expected "yes" or "no", not "${String(repeatable)}"`);
 	}
 
 	const key = exchange.headers['idempotency-key'];
@@ -48,14 +48,14 @@
 		return makeBadRequest(`Idempotency-Key: expected 1 to ${maximumKeyLength} characters`);
 	}
 
-	if (word === 'no' && key === undefined && ticket === undefined) {
+	if (repeatable === 'no' && key === undefined && ticket === undefined) {
 		return makeBadRequest('Idempotency-Key: expected with "Wardswitch-Repeatable: no"');
 	}
 
 	const isRepeatableByDefault = exchange.kind === 'model' || safeMethods.has(exchange.method);
-	exchange.key = word === 'yes' || key === undefined ? undefined : String(key);
-	exchange.ticket = word === 'yes' || ticket === undefined ? undefined : String(ticket);
-	exchange.isRepeatable = word === undefined ? isRepeatableByDefault : word === 'yes';
+	exchange.key = repeatable === 'yes' || key === undefined ? undefined : String(key);
+	exchange.ticket = repeatable === 'yes' || ticket === undefined ? undefined : String(ticket);
+	exchange.isRepeatable = repeatable === undefined ? isRepeatableByDefault : repeatable === 'yes';
 	return undefined;
 }
 
--- a/src/requests/filters/make-dispatch-filter.ts
+++ b/src/requests/filters/make-dispatch-filter.ts
@@ -47,8 +47,8 @@
 
 function checkTicket(exchange: Exchange, options: DispatchFilterOptions): Result<RunGuard, Problem> {
 	const ticket = readTicket(exchange.ticket!, options.linkKey);
-	const isOurs = ticket?.service === exchange.service && ticket.organisation === exchange.organisation;
-	if (!ticket || !isOurs) {
+	const isForRequest = ticket?.service === exchange.service && ticket.organisation === exchange.organisation;
+	if (!ticket || !isForRequest) {
 		return err(new Problem({
 			status: 400, title: 'Bad ticket', detail: 'Wardswitch-Ticket: expected a ticket of this service and organisation', outcome: 'not-run',
 		}));
--- a/src/target/record-table.ts
+++ b/src/target/record-table.ts
@@ -93,9 +93,9 @@
 	}
 
 	private evictOld(now: number): void {
-		for (const stones of [this.ended, this.tombstones]) {
-			for (const [name, stone] of stones) {
-				const isOld = now - stone.at >= this.options.minimumAgeMs;
+		for (const records of [this.ended, this.tombstones]) {
+			for (const [name, record] of records) {
+				const isOld = now - record.at >= this.options.minimumAgeMs;
 				if (!this.isFull && !isOld) {
 					break;
 				}
@@ -104,7 +104,7 @@
 					break;
 				}
 
-				stones.delete(name);
+				records.delete(name);
 				this.evict(name);
 			}
 		}
