--- a/features/support/link-pair.ts
+++ b/features/support/link-pair.ts
@@ -12,18 +12,23 @@
 	type: 'welcome', protocol: 1, id: 'target-1', availabilityZone: 'barre-hall', tableVersion: 0, leaving: false,
 } as const;
 
-/** An entry's link and a target's request controller, joined in memory, on an argument clock, with an engine that the scenario plays. */
+/** An entry's target link and a target's request controller, connected in memory; the scenario sets the time and acts as the engine. */
 export class LinkPair {
+	/** Present time of both sides, milliseconds since the epoch. */
 	now = 1_000_000;
 	readonly link: MemoryLink;
 	readonly entry: TargetLink;
+	/** Requests that the target has sent to its engine, in order. */
 	readonly running: Execution[] = [];
 	isLeaving = false;
 	incarnation = 'life-1';
 	controller: RequestController;
 	private nextId = 0;
 
-	/** @param maximumRecords - ended requests and tombstones that the target remembers */
+	/**
+	 * @param maximumRecords - ended requests and tombstones that the target can keep
+	 * @param concurrency - requests that the target runs at once
+	 */
 	constructor(private readonly maximumRecords = 100, private readonly concurrency = 10) {
 		this.controller = this.makeController();
 		this.link = new MemoryLink(
@@ -35,7 +40,7 @@
 				}
 			},
 			answer => {
-				this.controller.loseLink(answer, this.now);
+				this.controller.handleLostLink(answer, this.now);
 			},
 		);
 		this.entry = new TargetLink({
@@ -54,7 +59,7 @@
 		});
 	}
 
-	/** Makes a request; keyed ones run at most once. */
+	/** Makes a request; with a key it runs at most once. */
 	makeRequest(key?: string, owner?: string): MessageOf<'request'> {
 		const id = owner ?? `request-${this.nextId++}`;
 		return {
@@ -79,15 +84,15 @@
 		};
 	}
 
-	/** Replaces the target process: empty memory, another incarnation. */
+	/** Replaces the target process by one with another incarnation and no records. */
 	replaceTarget(): void {
 		this.incarnation = 'life-2';
 		this.controller = this.makeController();
-		this.link.cut();
+		this.link.disconnect();
 	}
 
-	/** Lets the engine write parts of an answer, and end it. */
-	write(words: readonly string[], isLast: boolean): void {
+	/** Writes the head and parts of an answer as the engine of the last request, and its end if `isLast`. */
+	writeAnswer(words: readonly string[], isLast: boolean): void {
 		const execution = this.running.at(-1)!;
 		execution.addPart({
 			type: 'head', status: 200, headers: {}, tableVersion: 0,
@@ -101,8 +106,8 @@
 		}
 	}
 
-	/** Adds a part without a head, for an answer that has begun. */
-	writeMore(word: string, isLast: boolean): void {
+	/** Writes another part of an answer that has begun, and its end if `isLast`. */
+	continueAnswer(word: string, isLast: boolean): void {
 		const execution = this.running.at(-1)!;
 		execution.addPart({type: 'data', chunk: new TextEncoder().encode(word)});
 		if (isLast) {
@@ -111,10 +116,10 @@
 	}
 
 	/** Reads the events of a call until it has ended. */
-	async readAll(call: Call): Promise<CallEvent[]> {
+	async readEvents(call: Call): Promise<CallEvent[]> {
 		const events: CallEvent[] = [];
 		for (;;) {
-			const event = await call.take();
+			const event = await call.nextEvent();
 			events.push(event);
 			if (!['head', 'data'].includes(event.type)) {
 				return events;
@@ -135,7 +140,7 @@
 			resumeMs: 5000,
 			clock: () => this.now,
 			isLeaving: () => this.isLeaving,
-			call: async execution => {
+			runOnEngine: async execution => {
 				this.running.push(execution);
 				await new Promise<void>((resolve, reject) => {
 					execution.abort.signal.addEventListener('abort', () => {
--- a/features/support/memory-link.ts
+++ b/features/support/memory-link.ts
@@ -1,41 +1,43 @@
 import {type LinkConnection} from '../../src/link/link-connection.js';
 import {type LinkMessage} from '../../src/link/link-message.js';
 
-type Ends = {
+/** One connection: its close, and the sending of messages to the entry, held back or at once. */
+type Connection = {
 	readonly close: () => void;
 	readonly answer: (message: LinkMessage) => boolean;
-	readonly deliver: (message: LinkMessage) => void;
+	readonly deliverToEntry: (message: LinkMessage) => void;
 };
 type Receiver = (message: LinkMessage, answer: (message: LinkMessage) => boolean) => void;
 
 /**
- * A link in memory between an entry and a target, one connection after another. Each direction can hold messages
- * back, so that a scenario delivers them late, twice, in another order, or never.
+ * An in-memory link between an entry and a target, with one connection at a time. Messages of both directions can be
+ * held back, so that a scenario can deliver them late, twice, in another order, or never.
  */
 export class MemoryLink {
-	/** Messages on the way to the target and to the entry while `isHolding`. */
+	/** Messages held back on the way to the target and to the entry. */
 	readonly toTarget: LinkMessage[] = [];
 	readonly toEntry: LinkMessage[] = [];
+	/** Whether messages are held back instead of delivered. */
 	isHolding = false;
-	/** While set, nobody can connect. */
-	isAway = false;
+	/** Whether attempts to connect fail. */
+	isDown = false;
 
-	private current: Ends | undefined;
+	private current: Connection | undefined;
 
 	/**
-	 * @param receive - the target's handler of messages
-	 * @param lose - the target's handler of a lost connection
+	 * @param onMessage - the target's handler for messages
+	 * @param onDisconnect - the target's handler for a lost connection
 	 */
-	constructor(public receive: Receiver, public lose: (answer: (message: LinkMessage) => boolean) => void) {}
+	constructor(public onMessage: Receiver, public onDisconnect: (answer: (message: LinkMessage) => boolean) => void) {}
 
-	/** Connects, as `connectLink` does. */
+	/** Opens a connection, in place of `connectLink`. */
 	readonly connect = async (): Promise<LinkConnection> => {
-		if (this.isAway) {
-			throw new Error('away');
+		if (this.isDown) {
+			throw new Error('the link is down');
 		}
 
 		let isOpen = true;
-		let onMessage: (message: LinkMessage) => void = () => undefined;
+		let entryHandler: (message: LinkMessage) => void = () => undefined;
 		const closeHandlers: Array<() => void> = [];
 		const answer = (message: LinkMessage): boolean => {
 			if (!isOpen) {
@@ -45,7 +47,7 @@
 			if (this.isHolding) {
 				this.toEntry.push(message);
 			} else {
-				onMessage(message);
+				entryHandler(message);
 			}
 
 			return true;
@@ -54,7 +56,7 @@
 		const close = (): void => {
 			if (isOpen) {
 				isOpen = false;
-				this.lose(answer);
+				this.onDisconnect(answer);
 				for (const handler of closeHandlers) {
 					handler();
 				}
@@ -64,8 +66,8 @@
 		this.current = {
 			close,
 			answer,
-			deliver(message) {
-				onMessage(message);
+			deliverToEntry(message) {
+				entryHandler(message);
 			},
 		};
 
@@ -73,8 +75,8 @@
 			get isOpen() {
 				return isOpen;
 			},
-			onMessage(handler: typeof onMessage) {
-				onMessage = handler;
+			onMessage(handler: typeof entryHandler) {
+				entryHandler = handler;
 			},
 			onClose(handler: () => void) {
 				closeHandlers.push(handler);
@@ -92,38 +94,38 @@
 		return connection as unknown as LinkConnection;
 	};
 
-	/** Cuts the connection; what was held back stays in hand. */
-	cut(): void {
+	/** Closes the connection at once; messages held back are kept. */
+	disconnect(): void {
 		this.current?.close();
 	}
 
-	/** Delivers a message to the target now, on the newest connection. */
-	deliver(message: LinkMessage): void {
-		this.receive(message, this.current!.answer);
+	/** Delivers a message to the target at once, on the newest connection. */
+	deliverToTarget(message: LinkMessage): void {
+		this.onMessage(message, this.current!.answer);
 	}
 
-	/** Delivers messages to the entry now. */
-	hand(messages: readonly LinkMessage[]): void {
+	/** Delivers messages to the entry at once, on the newest connection. */
+	deliverToEntry(messages: readonly LinkMessage[]): void {
 		for (const message of messages) {
-			this.current!.deliver(message);
+			this.current!.deliverToEntry(message);
 		}
 	}
 
-	/** Ends the holding and delivers what was held, in order. */
-	release(): void {
+	/** Stops holding messages back and delivers those that were held, in order. */
+	deliverHeld(): void {
 		this.isHolding = false;
 		for (const message of this.toTarget.splice(0)) {
-			this.deliver(message);
+			this.deliverToTarget(message);
 		}
 
-		this.hand(this.toEntry.splice(0));
+		this.deliverToEntry(this.toEntry.splice(0));
 	}
 
 	private send(message: LinkMessage, answer: (message: LinkMessage) => boolean): void {
 		if (this.isHolding) {
 			this.toTarget.push(message);
 		} else {
-			this.receive(message, answer);
+			this.onMessage(message, answer);
 		}
 	}
 }
--- a/features/support/scenario-clock.ts
+++ b/features/support/scenario-clock.ts
@@ -1,13 +1,14 @@
 import {readClock} from '../../src/config/read-clock.js';
 
-/** A clock that scenarios move ahead: the running clock plus what was added. */
+/** The process's clock plus an offset that scenarios increase. */
 export class ScenarioClock {
-	private addedMs = 0;
+	private offsetMs = 0;
 
-	readonly read = (): number => readClock() + this.addedMs;
+	/** Present time, milliseconds since the epoch. */
+	readonly read = (): number => readClock() + this.offsetMs;
 
 	/** Moves the clock ahead by `ms` milliseconds. */
 	advance(ms: number): void {
-		this.addedMs += ms;
+		this.offsetMs += ms;
 	}
 }
--- a/src/entry/group-planners.ts
+++ b/src/entry/group-planners.ts
@@ -7,23 +7,24 @@
 import {rankByRendezvous} from '../routing/rank-by-rendezvous.js';
 import {type Row} from '../table/row.js';
 
-type PlannersOptions = {
+type GroupPlannersOptions = {
 	readonly id: string;
 	readonly keyValue: KeyValue;
 	readonly membership: Membership;
 	readonly targets: TargetPool;
+	/** Interval between plans, milliseconds. */
 	readonly intervalMs: number;
 	readonly getRow: (service: string, group: string) => Row | undefined;
 	readonly log: (message: string) => void;
 };
 
-/** The groups of ranks that this entry plans for: those whose first entry by rendezvous hashing it is. */
+/** The planners of the groups of ranks for which this entry ranks first by rendezvous hashing. */
 export class GroupPlanners {
 	private readonly planners = new Map<string, GroupPlanner>();
 
-	constructor(private readonly options: PlannersOptions) {}
+	constructor(private readonly options: GroupPlannersOptions) {}
 
-	/** Lets the planner of each group that falls to this entry see the time. */
+	/** Runs the planner of each group that this entry plans for. */
 	tick(now: number, vms: readonly Vm[]): void {
 		const live = this.options.membership.listLive(now);
 		for (const vm of vms) {
@@ -33,22 +34,23 @@
 
 			const [first] = rankByRendezvous(vm.group, live);
 			if (first === this.options.id) {
-				void this.get(vm).tick(now);
+				void this.getPlanner(vm).tick(now);
 			}
 		}
 	}
 
-	async takeLoads(message: MessageOf<'map-loads'>, now: number): Promise<void> {
+	/** Passes expert loads to the planner of their group, if this entry has one. */
+	async noteExpertLoads(message: MessageOf<'map-loads'>, now: number): Promise<void> {
 		await this.planners.get(message.group)?.handleLoads(message, now);
 	}
 
-	/** Why the map of a group was last changed or left; undefined when another entry plans for it. */
+	/** Returns the last decision on a group's map, for `/explain`; undefined when this entry never planned for the group. */
 	explain(group: string): unknown {
 		const planner = this.planners.get(group);
 		return planner && {group, decision: planner.lastDecision};
 	}
 
-	private get(vm: Vm): GroupPlanner {
+	private getPlanner(vm: Vm): GroupPlanner {
 		const group = vm.group!;
 		const {id, keyValue, intervalMs, log, targets, getRow} = this.options;
 		const planner = this.planners.get(group) ?? new GroupPlanner({
--- a/src/entry/request-server.ts
+++ b/src/entry/request-server.ts
@@ -27,17 +27,17 @@
 	readonly metrics: ProcessMetrics;
 	readonly explanations: Explanations;
 	readonly tableVersion: () => number;
-	/** Filters for requests, from the first after the body was read. */
+	/** Filters for requests, after the one that reads the body. */
 	readonly filters: readonly Filter[];
 	/** Filters for `POST /tickets`. */
 	readonly ticketFilters: readonly Filter[];
 };
 
-/** The HTTP server for callers: turns each request into an exchange and sends it through the filters. */
+/** The HTTP server for callers: makes an exchange of each request and runs it through the filters. */
 export class RequestServer {
 	private readonly server: Server;
-	private open = 0;
-	private idleListener: (() => void) | undefined;
+	private openCount = 0;
+	private onIdle: (() => void) | undefined;
 
 	constructor(private readonly options: ServerOptions) {
 		this.server = createServer();
@@ -51,32 +51,35 @@
 		this.server.on('request', app.handler);
 	}
 
+	/** TCP port in use, also when port 0 was asked for. */
 	get port(): number {
 		return (this.server.address() as AddressInfo).port;
 	}
 
+	/** Number of requests that are still being handled. */
 	get openRequests(): number {
-		return this.open;
+		return this.openCount;
 	}
 
+	/** Starts to accept connections. */
 	async listen(): Promise<void> {
 		this.server.listen(this.options.port, this.options.address);
 		await once(this.server, 'listening');
 	}
 
-	/** Takes no more connections, and waits until every open request has its answer. */
+	/** Accepts no more connections, and waits until every open request has ended. */
 	async drain(): Promise<void> {
 		this.server.close();
-		if (this.open > 0) {
+		if (this.openCount > 0) {
 			await new Promise<void>(resolve => {
-				this.idleListener = resolve;
+				this.onIdle = resolve;
 			});
 		}
 
 		this.server.closeIdleConnections();
 	}
 
-	/** Cuts every connection. */
+	/** Closes every connection at once. */
 	close(): void {
 		this.server.close();
 		this.server.closeAllConnections();
@@ -93,26 +96,26 @@
 		response.setHeader('wardswitch-request-id', id);
 		response.on('close', () => {
 			if (!response.writableFinished) {
-				exchange.departure.abort();
+				exchange.callerAbort.abort();
 			}
 		});
-		this.open++;
+		this.openCount++;
 		try {
 			const result = await runFilters([makeBodyFilter(request, maximumBodyBytes), ...filters], exchange);
-			this.finish(exchange, result);
+			this.finishExchange(exchange, result);
 		} catch (error) {
 			response.destroy(error as Error);
 		} finally {
-			this.leave(span);
+			this.noteEnd(span);
 		}
 	}
 
-	private finish(exchange: Exchange, result: Result<void, Problem>): void {
+	private finishExchange(exchange: Exchange, result: Result<void, Problem>): void {
 		const {metrics, explanations, clock, tableVersion} = this.options;
 		let outcome = 'ok';
 		if (result.isErr()) {
 			({outcome} = result.error.options);
-			exchange.note(`${outcome}: ${result.error.message}`);
+			exchange.noteDecision(`${outcome}: ${result.error.message}`);
 			writeProblem(result.error, exchange.id, exchange.response);
 		} else if (!exchange.response.writableEnded) {
 			outcome = 'unknown';
@@ -129,15 +132,15 @@
 			tookMs: clock() - exchange.arrivedAt,
 			outcome,
 			tableVersion: tableVersion(),
-			decisions: exchange.trail,
+			decisions: exchange.decisions,
 		});
 	}
 
-	private leave(span: Span): void {
+	private noteEnd(span: Span): void {
 		span.end();
-		this.open--;
-		if (this.open === 0) {
-			this.idleListener?.();
+		this.openCount--;
+		if (this.openCount === 0) {
+			this.onIdle?.();
 		}
 	}
 }
--- a/src/expert-balance/planner-link.ts
+++ b/src/expert-balance/planner-link.ts
@@ -33,7 +33,7 @@
 
 		if (this.openLink?.link.current && now - this.openLink.receivedAt > silenceTimeoutMs) {
 			this.openLink.receivedAt = now;
-			this.openLink.link.cut();
+			this.openLink.link.disconnect();
 		}
 
 		if (wanted !== undefined) {
--- a/src/link/persistent-link.ts
+++ b/src/link/persistent-link.ts
@@ -2,23 +2,24 @@
 
 type PersistentLinkOptions = {
 	readonly connect: () => Promise<LinkConnection>;
-	/** Called for each connection that opened. */
+	/** Called with each connection that was opened. */
 	readonly onOpen: (connection: LinkConnection) => void;
 	/** Called when the connection was lost or could not be opened. */
 	readonly onLost: (message: string) => void;
-	/** A number from 0 to 1 that spreads reconnects. */
+	/** Returns a number from 0 to 1, for the jitter of reconnects. */
 	readonly random: () => number;
-	/** Longest pause between two tries, milliseconds. */
+	/** Maximum backoff between two attempts, before jitter, milliseconds. */
 	readonly maximumDelayMs?: number;
 };
 
-const firstDelayMs = 50;
-const defaultMaximumDelayMs = 5000;
+/** Backoff before the first reconnect, milliseconds; it doubles with each failed attempt. */
+const initialRetryDelayMs = 50;
+const defaultMaximumRetryDelayMs = 5000;
 
-/** A task that keeps one link open: connects, and connects again with growing, jittered delays until it is closed. */
+/** Keeps one link open: connects, and reconnects with exponential backoff and jitter until it is closed. */
 export class PersistentLink {
 	private connection: LinkConnection | undefined;
-	private delayMs = firstDelayMs;
+	private retryDelayMs = initialRetryDelayMs;
 	private timer: NodeJS.Timeout | undefined;
 	private isClosed = false;
 
@@ -31,15 +32,15 @@
 		return this.connection?.isOpen ? this.connection : undefined;
 	}
 
-	/** Ends the task and its connection. */
+	/** Closes the connection for good. */
 	close(): void {
 		this.isClosed = true;
 		clearTimeout(this.timer);
 		this.connection?.close();
 	}
 
-	/** Cuts the connection at once; the task connects again. */
-	cut(): void {
+	/** Closes the connection at once; a reconnect follows. */
+	disconnect(): void {
 		this.connection?.destroy();
 	}
 
@@ -52,17 +53,17 @@
 			}
 
 			this.connection = connection;
-			this.delayMs = firstDelayMs;
+			this.retryDelayMs = initialRetryDelayMs;
 			connection.onClose(error => {
-				this.lose(error?.message ?? 'closed by the peer');
+				this.scheduleReconnect(error?.message ?? 'closed by the peer');
 			});
 			this.options.onOpen(connection);
 		} catch (error) {
-			this.lose((error as Error).message);
+			this.scheduleReconnect((error as Error).message);
 		}
 	}
 
-	private lose(message: string): void {
+	private scheduleReconnect(message: string): void {
 		this.connection = undefined;
 		if (this.isClosed) {
 			return;
@@ -72,7 +73,7 @@
 		const jitter = 0.5 + this.options.random();
 		this.timer = setTimeout(() => {
 			void this.open();
-		}, this.delayMs * jitter);
-		this.delayMs = Math.min(this.delayMs * 2, this.options.maximumDelayMs ?? defaultMaximumDelayMs);
+		}, this.retryDelayMs * jitter);
+		this.retryDelayMs = Math.min(this.retryDelayMs * 2, this.options.maximumDelayMs ?? defaultMaximumRetryDelayMs);
 	}
 }
--- a/src/mesh/entry-mesh.ts
+++ b/src/mesh/entry-mesh.ts
@@ -97,7 +97,7 @@
 		for (const peer of this.peers.values()) {
 			if (peer.link.current && now - peer.lastSeenAt > linkTimeoutMs) {
 				peer.lastSeenAt = now;
-				peer.link.cut();
+				peer.link.disconnect();
 			}
 		}
 	}
--- a/src/requests/filters/make-dispatch-filter.ts
+++ b/src/requests/filters/make-dispatch-filter.ts
@@ -18,7 +18,7 @@
 	readonly clock: () => number;
 };
 
-/** Ends the chain: guards the request against a second run as its caller asked, and dispatches it. */
+/** Last filter of the chain: dispatches the request under the guard against repeated runs that its caller asked for (ticket, key or none). */
 export function makeDispatchFilter(options: DispatchFilterOptions): Filter {
 	return async exchange => {
 		const guard = makeGuard(exchange, options);
@@ -47,8 +47,8 @@
 
 function checkTicket(exchange: Exchange, options: DispatchFilterOptions): Result<RunGuard, Problem> {
 	const ticket = readTicket(exchange.ticket!, options.linkKey);
-	const isOurs = ticket?.service === exchange.service && ticket.organisation === exchange.organisation;
-	if (!ticket || !isOurs) {
+	const isForRequest = ticket?.service === exchange.service && ticket.organisation === exchange.organisation;
+	if (!ticket || !isForRequest) {
 		return err(new Problem({
 			status: 400, title: 'Bad ticket', detail: 'Wardswitch-Ticket: expected a ticket of this service and organisation', outcome: 'not-run',
 		}));
--- a/src/requests/follow-call.ts
+++ b/src/requests/follow-call.ts
@@ -4,19 +4,19 @@
 import {type Exchange} from './exchange.js';
 import {relayAnswer} from './relay-answer.js';
 
-/** Longest wait for a target's word on a call that was given up, milliseconds. */
-const cancelMs = 250;
+/** How long to wait for the target's answer after a call was given up, milliseconds. */
+const cancelTimeoutMs = 250;
 
 type FollowOptions = {
 	readonly link: TargetLink;
 	readonly exchange: Exchange;
 	/** Milliseconds until the deadline. */
 	readonly timeoutMs: number;
-	/** Whether giving up may end the run; a run that others may still ask for goes on. */
+	/** Whether the target is told to cancel when the call is given up; a keyed run goes on, since others may still ask for its answer. */
 	readonly mayCancel: boolean;
 };
 
-/** Follows one call to its end, and relays its answer to the caller. */
+/** Follows one call to its end and relays its answer to the caller. The call is given up at the deadline or when the caller disconnects. */
 export async function followCall(call: Call, options: FollowOptions): Promise<AttemptResult> {
 	const {link, exchange, timeoutMs, mayCancel} = options;
 	let graceTimer: NodeJS.Timeout | undefined;
@@ -27,32 +27,32 @@
 
 		graceTimer ??= setTimeout(() => {
 			call.settle({type: 'lost', reason});
-		}, cancelMs);
+		}, cancelTimeoutMs);
 	};
 
 	const deadlineTimer = setTimeout(() => {
 		giveUp('the deadline passed');
 	}, timeoutMs);
-	const leave = (): void => {
+	const onCallerAbort = (): void => {
 		giveUp('the caller left');
 	};
 
-	exchange.departure.signal.addEventListener('abort', leave, {once: true});
+	exchange.callerAbort.signal.addEventListener('abort', onCallerAbort, {once: true});
 	try {
 		return await readResult(call, exchange);
 	} finally {
 		clearTimeout(deadlineTimer);
 		clearTimeout(graceTimer);
-		exchange.departure.signal.removeEventListener('abort', leave);
+		exchange.callerAbort.signal.removeEventListener('abort', onCallerAbort);
 		link.release(call);
 	}
 }
 
 async function readResult(call: Call, exchange: Exchange): Promise<AttemptResult> {
-	const event = await call.take();
+	const event = await call.nextEvent();
 	switch (event.type) {
 		case 'head': {
-			return {kind: 'answered', isWhole: await relayAnswer(event, call, exchange.response)};
+			return {kind: 'answered', isComplete: await relayAnswer(event, call, exchange.response)};
 		}
 
 		case 'refused': {
--- a/src/requests/retry-budget.ts
+++ b/src/requests/retry-budget.ts
@@ -1,25 +1,25 @@
-/** Most retries that can be saved up. */
-const maximumSaved = 10;
+/** Retries that the bucket holds at most, and at the start. */
+const maximumRetries = 10;
 
-/** Keeps retries to a share of first attempts, so that failing targets do not multiply the load. */
+/** A token bucket that limits retries to a share of the requests, so that failing targets do not multiply the load. */
 export class RetryBudget {
-	private saved = maximumSaved;
+	private retries = maximumRetries;
 
-	/** @param ratio - retries that each first attempt earns */
+	/** @param ratio - retries that each request adds */
 	constructor(private readonly ratio: number) {}
 
-	/** Notes a first attempt. */
-	earn(): void {
-		this.saved = Math.min(maximumSaved, this.saved + this.ratio);
+	/** Adds the share of one request; called once for each. */
+	deposit(): void {
+		this.retries = Math.min(maximumRetries, this.retries + this.ratio);
 	}
 
-	/** Takes one retry; false when there is none left. */
-	spend(): boolean {
-		if (this.saved < 1) {
+	/** Takes one retry from the bucket; false when there is none left. */
+	tryWithdraw(): boolean {
+		if (this.retries < 1) {
 			return false;
 		}
 
-		this.saved--;
+		this.retries--;
 		return true;
 	}
 }
--- a/src/target/start-target.ts
+++ b/src/target/start-target.ts
@@ -3,8 +3,8 @@
 import {type TargetSettings} from '../config/target-settings.js';
 import {connectLink} from '../link/connect-link.js';
 import {type LinkMessage} from '../link/link-message.js';
-import {linkProtocol} from '../link/link-protocol.js';
-import {listenLink} from '../link/listen-link.js';
+import {linkProtocolVersion} from '../link/link-protocol-version.js';
+import {listenForLinks} from '../link/listen-for-links.js';
 import {type MessageOf} from '../link/message-of.js';
 import {getLogger} from '../log/get-logger.js';
 import {GroupMember} from '../map-switch/group-member.js';
@@ -17,21 +17,23 @@
 import {traceHop} from '../tracing/trace-hop.js';
 import {writeTraceParent} from '../tracing/write-trace-parent.js';
 import {callEngine} from './call-engine.js';
-import {EntryLinks} from './entry-links.js';
+import {PeerLinks} from './peer-links.js';
 import {Lifecycle} from './lifecycle.js';
 import {RecordTable} from './record-table.js';
 import {RequestController} from './request-controller.js';
 import {type RunningTarget} from './running-target.js';
 
 const logger = getLogger('target');
-const tombstoneAgeMs = 600_000;
-/** Time between two load reports. Since a busy target refuses at once, older reports cost little and fewer save bytes. */
-const reportMs = 8000;
-const tickMs = 100;
-/** Longest wait for a peer to take the last bytes of a link, milliseconds. */
-const closeMs = 2000;
-
-/** Starts a target process: the links to entries, the controllers, and the admin server. */
+/** Age below which tombstones and records of keys are never evicted, milliseconds. */
+const minimumTombstoneAgeMs = 600_000;
+/** Interval of load reports, milliseconds. A busy target refuses at once, so stale reports do little harm and rare ones save bandwidth. */
+const loadReportIntervalMs = 8000;
+/** Interval at which deadlines and lost readers are checked, milliseconds. */
+const tickIntervalMs = 100;
+/** How long to wait at a planned stop for peers to receive the last messages, milliseconds. */
+const closeTimeoutMs = 2000;
+
+/** Starts a target process: the listener for links, the controllers, and the admin server. */
 export async function startTarget(settings: TargetSettings, clock: () => number): Promise<RunningTarget> {
 	const incarnation = makeIncarnation(clock());
 	const metrics = new ProcessMetrics();
@@ -44,7 +46,7 @@
 		resolveStopped = resolve;
 	});
 
-	const describeLoad = (): MessageOf<'load'>['load'] => ({
+	const getLoad = (): MessageOf<'load'>['load'] => ({
 		running: queue.running,
 		waiting: queue.waiting,
 		concurrency: settings.admission.concurrency,
@@ -57,13 +59,13 @@
 		clearTimeout(stopTimer);
 		if (lifecycle.state === 'leaving') {
 			stopTimer = setTimeout(() => {
-				logger.warn('what still runs is cut off, the longest wait is over');
-				lifecycle.drain();
+				logger.warn('stop time-out reached; links are closed while requests still run');
+				lifecycle.noteDrained();
 				void close();
 			}, settings.stopMs);
 		}
 
-		logger.info(isLeaving ? 'leaving, nothing new is taken' : 'serving');
+		logger.info(isLeaving ? 'leaving: no new requests are accepted' : 'serving');
 		links.broadcast({type: 'leaving', leaving: isLeaving});
 		drainIfIdle();
 	});
@@ -71,12 +73,12 @@
 	const requests = new RequestController({
 		incarnation,
 		queue,
-		records: new RecordTable({maximum: settings.records.maximum, minimumAgeMs: tombstoneAgeMs}),
+		records: new RecordTable({maximum: settings.records.maximum, minimumAgeMs: minimumTombstoneAgeMs}),
 		replayBytes: settings.records.replayBytes,
 		resumeMs: settings.records.resumeMs,
 		clock,
 		isLeaving: () => lifecycle.state !== 'serving',
-		async call(execution) {
+		async runOnEngine(execution) {
 			const {headers} = execution.request;
 			const span = startSpan(tracer, 'target', headers, execution.arrivedAt);
 			await traceHop(tracer, 'engine', span, async engineSpan => {
@@ -91,32 +93,32 @@
 
 	function drainIfIdle(): void {
 		if (lifecycle.state === 'leaving' && requests.isIdle) {
-			lifecycle.drain();
+			lifecycle.noteDrained();
 			void close();
 		}
 	}
 
-	const noteVersion = (version: number): void => {
+	const noteTableVersion = (version: number): void => {
 		tableVersion = Math.max(tableVersion, version);
 		metrics.tableVersion.set(tableVersion);
 	};
 
-	const links = new EntryLinks({
+	const links = new PeerLinks({
 		welcome: () => ({
 			type: 'welcome',
-			protocol: linkProtocol,
+			protocol: linkProtocolVersion,
 			id: settings.id,
 			availabilityZone: settings.availabilityZone,
 			incarnation,
 			tableVersion,
 			leaving: lifecycle.state !== 'serving',
 			service: settings.service,
-			load: describeLoad(),
+			load: getLoad(),
 		}),
-		onTableVersion: noteVersion,
+		onTableVersion: noteTableVersion,
 		onMessage: handle,
 		onLost(send) {
-			requests.loseLink(send, clock());
+			requests.handleLostLink(send, clock());
 		},
 		warn(message) {
 			logger.warn(message);
@@ -126,7 +128,7 @@
 	function handle(message: LinkMessage, send: (message: LinkMessage) => boolean): void {
 		switch (message.type) {
 			case 'heartbeat': {
-				noteVersion(message.tableVersion);
+				noteTableVersion(message.tableVersion);
 				break;
 			}
 
@@ -142,7 +144,7 @@
 
 			default: {
 				if (message.type === 'request') {
-					noteVersion(message.tableVersion);
+					noteTableVersion(message.tableVersion);
 				}
 
 				requests.receive(message, send, clock());
@@ -172,7 +174,7 @@
 				meter: metrics.meterLink,
 			}),
 			hello: () => ({
-				type: 'hello', protocol: linkProtocol, id: settings.id, role: 'target', availabilityZone: settings.availabilityZone, incarnation, tableVersion,
+				type: 'hello', protocol: linkProtocolVersion, id: settings.id, role: 'target', availabilityZone: settings.availabilityZone, incarnation, tableVersion,
 			}),
 			clock,
 			random: Math.random,
@@ -181,7 +183,7 @@
 			},
 		});
 
-	const listener = await listenLink({
+	const listener = await listenForLinks({
 		address: settings.address,
 		port: settings.linkPort,
 		key: settings.link.key,
@@ -191,11 +193,11 @@
 			links.accept(connection);
 		},
 		onRejection(reason) {
-			logger.warn(`peer turned away: ${reason}`);
+			logger.warn(`link rejected: ${reason}`);
 		},
 	});
 	const getStatus: RunningTarget['getStatus'] = () => ({
-		id: settings.id, service: settings.service, state: lifecycle.state, incarnation, tableVersion, load: describeLoad(), links: links.size,
+		id: settings.id, service: settings.service, state: lifecycle.state, incarnation, tableVersion, load: getLoad(), links: links.size,
 	});
 	const admin = await startAdminServer({
 		address: settings.address,
@@ -208,19 +210,19 @@
 	});
 	const ticker = setInterval(() => {
 		requests.tick(clock());
-	}, tickMs);
+	}, tickIntervalMs);
 	const reporter = setInterval(() => {
 		metrics.measureControl(() => {
-			links.broadcast({type: 'load', load: describeLoad(), tableVersion});
+			links.broadcast({type: 'load', load: getLoad(), tableVersion});
 		});
-	}, reportMs);
+	}, loadReportIntervalMs);
 
 	async function close(): Promise<void> {
 		member?.close();
 		clearInterval(ticker);
 		clearInterval(reporter);
-		// The last parts of answers leave before the links do.
-		await listener.drain(closeMs);
+		// Links are drained first, so that the last parts of answers are sent.
+		await listener.drain(closeTimeoutMs);
 		admin.close();
 		await dispatcher.close();
 		resolveStopped();
