--- a/features/steps/admission-steps.ts
+++ b/features/steps/admission-steps.ts
@@ -36,7 +36,7 @@
 
 const getPlayed = (world: SystemWorld): Played => world.notes.get('played') as Played;
 const getForecast = (world: SystemWorld): PauseForecast => world.notes.get('forecast') as PauseForecast;
-const getMost = (world: SystemWorld): number => getForecast(world).getMostLoad(targetGapMs, pace)!;
+const getMost = (world: SystemWorld): number => getForecast(world).getMaximumLoad(targetGapMs, pace)!;
 
 const observe = (world: SystemWorld, gapMs: number, load: number, forMs: number): void => {
 	const end = (world.notes.get('now') as number) + forMs;
@@ -167,7 +167,7 @@
 
 	const refusing = new Set<string>();
 	const admission = new StreamAdmission({
-		board, listOpen: service => directory.list(service), isSound: ({id}) => !refusing.has(id), getService: name => ({name, maximumConnections: 100, pace}),
+		board, listAvailable: service => directory.list(service), isHealthy: ({id}) => !refusing.has(id), getService: name => ({name, maximumConnections: 100, pace}),
 	});
 	for (let now = 0; now < 2000; now += gapMs) {
 		admission.noteGap(list[0], gapMs);
@@ -198,14 +198,14 @@
 
 Then('asking for {string} is {string}', function (this: SystemWorld, what: string, answer: string) {
 	const {admission, list} = this.notes.get('entry') as {admission: StreamAdmission; list: readonly Target[]};
-	const reason = admission.findRoom(list, routes[what], 8000, 2000).refusal;
+	const reason = admission.findTargetsWithRoom(list, routes[what], 8000, 2000).refusal;
 	assert.equal(reason === undefined ? 'admitted' : 'refused', answer, reason);
 	assert.ok(reason === undefined || reason.includes('84 streams under way'), reason);
 });
 
 Then('a stream is {string}, by what the others have under way', function (this: SystemWorld, answer: string) {
 	const {admission, list} = this.notes.get('entry') as {admission: StreamAdmission; list: readonly Target[]};
-	const reason = admission.findRoom(list, route, 8000, 2000).refusal;
+	const reason = admission.findTargetsWithRoom(list, route, 8000, 2000).refusal;
 	assert.equal(reason === undefined ? 'admitted' : 'refused', answer, reason);
 	assert.ok(reason === undefined || reason.includes('36 streams under way'), reason);
 });
@@ -223,7 +223,7 @@
 	}
 
 	const admission = new StreamAdmission({
-		board, listOpen: service => directory.list(service), isSound: () => true, getService: name => ({name, maximumConnections: 100, pace}),
+		board, listAvailable: service => directory.list(service), isHealthy: () => true, getService: name => ({name, maximumConnections: 100, pace}),
 	});
 	for (let now = 0; now < 2000; now += tickMs) {
 		admission.noteGap(list[0], evenMs);
@@ -236,7 +236,7 @@
 
 Then('a stream may go to targets of the {word} group only', function (this: SystemWorld, group: string) {
 	const {admission, list} = this.notes.get('entry') as {admission: StreamAdmission; list: readonly Target[]};
-	const {targets} = admission.findRoom(list, route, 8000, 2000);
+	const {targets} = admission.findTargetsWithRoom(list, route, 8000, 2000);
 	assert.deepEqual([...new Set(targets.map(target => target.group))], [group]);
 	assert.equal(targets.length, list.length / 2);
 });
--- a/features/steps/limit-steps.ts
+++ b/features/steps/limit-steps.ts
@@ -307,7 +307,7 @@
 			electEntry: () => 'there',
 			listPeers: () => ['there'],
 			countRegistered: () => 2,
-			ask(_peer, {number}) {
+			sendToPeer(_peer, {number}) {
 				entry.asked = number;
 				return true;
 			},
@@ -320,7 +320,7 @@
 
 When('a third entry asks it for a permit at {float} a second, {int} ms later', function (this: SystemWorld, perSecond: number, ms: number) {
 	const entry = this.notes.get('asking') as AskingEntry;
-	const ask = () => entry.permits.answer({type: 'permit-wanted', number: 1, limit: {...life, perSecond, agoMs: 0}});
+	const ask = () => entry.permits.handleRequest({type: 'permit-wanted', number: 1, limit: {...life, perSecond, agoMs: 0}});
 	ask();
 	entry.now += ms;
 	this.notes.set('isGranted', ask().isGranted);
@@ -336,7 +336,7 @@
 		...life, service: 'desk', address: '10.0.0.1', port: 1, availabilityZone: 'a', slots: 8, isLeaving: false,
 	});
 	entry.now += ms;
-	entry.permits.receive({
+	entry.permits.handleAnswer({
 		type: 'permit', number: entry.asked!, isGranted: true, nextMs: 0,
 	});
 	this.notes.set('isTaken', await taken);
--- a/features/steps/stall-steps.ts
+++ b/features/steps/stall-steps.ts
@@ -11,12 +11,12 @@
 import {getUnit} from '../../src/fleet/get-unit.js';
 import {TargetDirectory} from '../../src/fleet/target-directory.js';
 import {type Target} from '../../src/fleet/target.js';
-import {CrashWatch} from '../../src/forward/crash-watch.js';
+import {CrashDetector} from '../../src/forward/crash-detector.js';
 import {ForwardDispatcher} from '../../src/forward/forward-dispatcher.js';
 import {ForwardExchange} from '../../src/forward/forward-exchange.js';
 import {StreamAdmission} from '../../src/forward/stream-admission.js';
-import {TargetBook} from '../../src/forward/target-book.js';
-import {StallWatch} from '../../src/forward/stall-watch.js';
+import {TargetTracker} from '../../src/forward/target-tracker.js';
+import {StallDetector} from '../../src/forward/stall-detector.js';
 import {type Problem} from '../../src/requests/problem.js';
 import {type SystemWorld} from '../support/system-world.js';
 
@@ -47,7 +47,7 @@
 	readonly aborts: AbortController[] = [];
 	readonly heldUp: boolean[] = [];
 	private readonly board = new LoadBoard();
-	private readonly watch = new StallWatch({
+	private readonly watch = new StallDetector({
 		board: this.board,
 		health: new TargetHealth(),
 		clock: () => this.now,
@@ -62,7 +62,7 @@
 		},
 	});
 
-	private readonly watches: Array<ReturnType<StallWatch['watch']>> = [];
+	private readonly watches: Array<ReturnType<StallDetector['watch']>> = [];
 
 	constructor(streams: number) {
 		for (let index = 0; index < streams; index++) {
@@ -70,13 +70,13 @@
 			this.aborts.push(abort);
 			this.heldUp.push(false);
 			this.board.begin(target.id, this.now);
-			this.watches.push(this.watch.watch({target, abort, isHeldUp: () => this.heldUp[index]}));
+			this.watches.push(this.watch.watch({target, abort, isWaitingForCaller: () => this.heldUp[index]}));
 		}
 	}
 
 	progress(index: number): void {
 		this.board.progress(target.id, this.now);
-		this.watches[index].progress();
+		this.watches[index].noteProgress();
 	}
 
 	pass(ms: number, live: readonly number[]): void {
@@ -171,9 +171,9 @@
 	const sent: string[] = [];
 	const clock = (): number => 0;
 	const board = new LoadBoard();
-	const book = new TargetBook({
+	const book = new TargetTracker({
 		electEntry: () => '',
-		address: '', listPeers: () => [], countRegistered: () => 1, ask: () => false, clock, countInFlight: () => 0, onRefusal: String, onLeave: String, log: String,
+		address: '', listPeers: () => [], countRegistered: () => 1, sendToPeer: () => false, clock, countInFlight: () => 0, onRefusal: String, onLeave: String, log: String,
 	});
 	const {directory, health} = book;
 	directory.replace(targets, 0, false);
@@ -182,9 +182,9 @@
 			sent.push(options.target.id);
 			return {kind: 'lost', reason: 'not looked at'};
 		},
-		book,
-		crashes: new CrashWatch({
-			check: async () => 'listens', health, isElected: () => true, onFound: String, clock, log: String,
+		tracker: book,
+		crashes: new CrashDetector({
+			check: async () => 'listens', health, isElected: () => true, onCrashFound: String, clock, log: String,
 		}),
 		board,
 		gate: world.notes.get('gate') as ServiceGate,
@@ -192,7 +192,7 @@
 		budget: new RepeatBudget({
 			ratio: 0.2, slack: 90, windowMs: 10_000, countEntries: () => 1,
 		}),
-		stalls: new StallWatch({
+		stalls: new StallDetector({
 			board,
 			health,
 			clock,
@@ -201,7 +201,7 @@
 			onStopped: String,
 		}),
 		admission: new StreamAdmission({
-			board, listOpen: service => directory.list(service), isSound: () => true, getService: () => undefined,
+			board, listAvailable: service => directory.list(service), isHealthy: () => true, getService: () => undefined,
 		}),
 		availabilityZone: 'a',
 		clock,
@@ -214,13 +214,13 @@
 		incoming,
 		response: new ServerResponse(incoming),
 		arrivedAt: 0,
-		marks: {id: 'the-request', deadlineMs: 5000, lastEventId: undefined},
-		isAllowedToKeepOpen: () => true,
+		metadata: {id: 'the-request', deadlineMs: 5000, lastEventId: undefined},
+		mayKeepAlive: () => true,
 	});
 	exchange.route = route;
 	exchange.deadline = 5000;
 	if (hasLeft) {
-		exchange.departure.abort();
+		exchange.disconnection.abort();
 	}
 
 	world.notes.set('result', await dispatcher.run(exchange));
--- a/features/support/call-fleet.ts
+++ b/features/support/call-fleet.ts
@@ -4,17 +4,17 @@
 import {uniformFloat64} from 'pure-rand/distribution/uniformFloat64';
 import {xoroshiro128plus} from 'pure-rand/generator/xoroshiro128plus';
 import {type Target} from '../../src/fleet/target.js';
-import {type AnswerMarks} from '../../src/forward/answer-marks.js';
+import {type AnswerMetadata} from '../../src/forward/answer-metadata.js';
 import {ForwardExchange} from '../../src/forward/forward-exchange.js';
-import {makeForwardPath} from '../../src/forward/make-forward-path.js';
+import {makeForwardPipeline} from '../../src/forward/make-forward-pipeline.js';
 import {type SendOutcome} from '../../src/forward/send-outcome.js';
 import {type TargetTransport} from '../../src/forward/target-transport.js';
 import {type TransportListener} from '../../src/forward/transport-listener.js';
 import {FleetTarget} from './fleet-target.js';
 
-type Path = ReturnType<typeof makeForwardPath>;
+type Path = ReturnType<typeof makeForwardPipeline>;
 type SendOptions = Parameters<TargetTransport['send']>[0];
-type PermitQuestion = Parameters<Path['book']['permits']['answer']>[0];
+type PermitQuestion = Parameters<Path['tracker']['permits']['handleRequest']>[0];
 type Sent = {readonly target: Target; readonly sentAt: number};
 type Receiver = {readonly sentAt: number; readonly listener: TransportListener; readonly resolve: (outcome: SendOutcome) => void};
 type FleetOptions = {
@@ -112,9 +112,9 @@
 	/** Has all entries hear which targets are registered. */
 	register(): void {
 		for (const path of this.paths) {
-			const {renewed} = path.book.directory.replace(this.targets.map(({target}) => target), this.now, false);
+			const {renewed} = path.tracker.directory.replace(this.targets.map(({target}) => target), this.now, false);
 			for (const {id} of renewed) {
-				path.renew(id);
+				path.resetTarget(id);
 			}
 		}
 	}
@@ -204,9 +204,9 @@
 		}
 
 		this.after(this.linkMs, () => {
-			const answer = this.paths[keeper].book.permits.answer(question);
+			const answer = this.paths[keeper].tracker.permits.handleRequest(question);
 			this.after(this.linkMs, () => {
-				this.paths[entry].book.permits.receive(answer);
+				this.paths[entry].tracker.permits.handleAnswer(answer);
 			});
 		});
 		return true;
@@ -220,14 +220,14 @@
 			incoming,
 			response: new ServerResponse(incoming),
 			arrivedAt: this.now,
-			marks: {id: 'request', deadlineMs, lastEventId: undefined},
-			isAllowedToKeepOpen: () => true,
+			metadata: {id: 'request', deadlineMs, lastEventId: undefined},
+			mayKeepAlive: () => true,
 		});
 		exchange.route = makeRoute(this.options.maximumAttempts ?? 2);
 		exchange.deadline = call.askedAt + deadlineMs;
 		exchange.body = call.body;
 		const result = await this.paths[entry].dispatcher.run(exchange);
-		this.lines.push(exchange.trail.join('; '));
+		this.lines.push(exchange.decisions.join('; '));
 		if (result.isOk()) {
 			call.isServed = true;
 			return;
@@ -253,30 +253,30 @@
 	}
 
 	private openPath(entry: number): Path {
-		const path: Path = makeForwardPath({
+		const path: Path = makeForwardPipeline({
 			availabilityZone: `zone-${entry % zones}`,
 			repeats: {ratio: 0.2, slack: 90, windowMs: 10_000},
 			clock: () => this.now,
 			random: this.random,
 			countRegistered: () => this.options.entries,
 			getService: () => undefined,
-			onLoad: () => undefined,
+			onLoadChange: () => undefined,
 			onSend: () => undefined,
-			onFound: () => {
+			onCrashFound: () => {
 				this.after(latencyMs, () => {
 					this.report(entry);
 				});
 			},
 			onRefusal: () => undefined,
 			onLeave: target => {
-				path.book.directory.noteLeave(target, this.now);
+				path.tracker.directory.noteLeave(target, this.now);
 			},
 			log: line => {
 				this.lines.push(line);
 			},
 			address: `entry-${entry}`,
 			listPeers: () => [...this.paths.keys()].filter(other => other !== entry && this.isLinked(entry, other)).map(other => `entry-${other}`),
-			ask: (peer, question) => this.askPermit(entry, peer, question),
+			sendToPeer: (peer, question) => this.askPermit(entry, peer, question),
 			openTransport: listener => ({
 				send: async options => this.send(entry, options, listener),
 				check: async meant => this.targets.find(({target}) => target.id === meant.id)!.isDown ? 'refuses' : 'listens',
@@ -307,8 +307,8 @@
 					return;
 				}
 
-				if (refused.marks.restMs !== undefined) {
-					this.rests.push({pair, from: this.now, until: this.now + refused.marks.restMs});
+				if (refused.marks.retryAfterMs !== undefined) {
+					this.rests.push({pair, from: this.now, until: this.now + refused.marks.retryAfterMs});
 				}
 
 				this.after(latencyMs + refused.lateMs, () => {
@@ -326,7 +326,7 @@
 			state.isLost = true;
 			const answeringMs = state.answeredAt === undefined ? undefined : this.now - state.answeredAt;
 			resolve({
-				kind: 'lost', reason: 'other side closed', isCut: true, answeringMs,
+				kind: 'lost', reason: 'other side closed', isConnectionClosed: true, answeringMs,
 			});
 		});
 		this.after(firstEventMs, () => {
@@ -356,7 +356,7 @@
 		});
 	}
 
-	private tell(pair: Pair, {target, sentAt}: Sent, marks: AnswerMarks, listener: TransportListener): void {
+	private tell(pair: Pair, {target, sentAt}: Sent, marks: AnswerMetadata, listener: TransportListener): void {
 		listener.onHead(target, marks, sentAt);
 		if (marks.isLeaving) {
 			this.notices.push({pair, at: this.now});
--- a/features/support/fleet-target.ts
+++ b/features/support/fleet-target.ts
@@ -1,5 +1,5 @@
 import {type Target} from '../../src/fleet/target.js';
-import {type AnswerMarks} from '../../src/forward/answer-marks.js';
+import {type AnswerMetadata} from '../../src/forward/answer-metadata.js';
 import {type SendOutcome} from '../../src/forward/send-outcome.js';
 
 type Refusal = {
@@ -11,7 +11,7 @@
 	readonly lateMs: number;
 };
 
-type Refused = {readonly marks: AnswerMarks; readonly outcome: SendOutcome; readonly lateMs: number};
+type Refused = {readonly marks: AnswerMetadata; readonly outcome: SendOutcome; readonly lateMs: number};
 
 /** Requests that wait at a target beyond its slots before it turns the next away. */
 const queueLength = 4;
@@ -35,7 +35,7 @@
 	constructor(public target: Target) {}
 
 	/** What its answers say of it. */
-	get marks(): AnswerMarks {
+	get marks(): AnswerMetadata {
 		return {
 			status: 200,
 			requestId: undefined,
@@ -45,9 +45,9 @@
 			isMisdirected: false,
 			isSigned: true,
 			isLeaving: this.isLeaving,
-			restMs: undefined,
+			retryAfterMs: undefined,
 			limit: this.limit === undefined ? undefined : {perSecond: this.limit},
-			retryAfter: undefined,
+			retryAfterText: undefined,
 		};
 	}
 
@@ -63,7 +63,7 @@
 		return {
 			lateMs: this.refusal?.lateMs ?? 0,
 			marks: {
-				...this.marks, status: 503, isNotRun: true, restMs, retryAfter: restMs === undefined ? undefined : String(restMs / 1000),
+				...this.marks, status: 503, isNotRun: true, retryAfterMs: restMs, retryAfterText: restMs === undefined ? undefined : String(restMs / 1000),
 			},
 			outcome: {
 				kind: 'not-run', reason: 'target refused', wasSent: true, cause: 'busy',
--- a/features/support/open-store-entry.ts
+++ b/features/support/open-store-entry.ts
@@ -1,5 +1,5 @@
 import {makeEntryState} from '../../src/forward/make-entry-state.js';
-import {makeForwardPath} from '../../src/forward/make-forward-path.js';
+import {makeForwardPipeline} from '../../src/forward/make-forward-pipeline.js';
 import {type ChangeFeed} from '../../src/key-value/change-feed.js';
 import {type Registry} from '../../src/key-value/registry.js';
 import {type LinkConnection} from '../../src/link/link-connection.js';
@@ -20,16 +20,16 @@
 
 /** Puts an entry together as a process does, but for callers and sockets. */
 export function openStoreEntry({id, address, availabilityZone, store, connect, clock, random, log}: Surroundings): StoreEntry {
-	const path = makeForwardPath({
+	const path = makeForwardPipeline({
 		availabilityZone,
 		repeats: {ratio: 0.2, slack: 90, windowMs: 10_000},
 		clock,
 		random,
 		countRegistered: () => state.countRegistered(),
 		getService: () => undefined,
-		onLoad: () => undefined,
+		onLoadChange: () => undefined,
 		onSend: () => undefined,
-		onFound: () => undefined,
+		onCrashFound: () => undefined,
 		onRefusal: () => undefined,
 		onLeave(target, source) {
 			state.fleet.noteLeave(target, source, clock());
@@ -37,7 +37,7 @@
 		log,
 		address,
 		listPeers: now => state.mesh.listHeard(now),
-		ask: () => false,
+		sendToPeer: () => false,
 		openTransport: () => ({
 			send: async () => ({kind: 'not-run', reason: 'not sent', wasSent: false}),
 			check: async () => 'listens',
@@ -53,7 +53,7 @@
 		feed: store,
 		registry: store,
 		source: plainSource,
-		directory: path.book.directory,
+		directory: path.tracker.directory,
 		board: path.board,
 		connect,
 		clock,
@@ -68,13 +68,13 @@
 		onMessage: () => undefined,
 		onTable: () => undefined,
 		onLeave(target) {
-			path.forget(target);
+			path.removeTarget(target);
 		},
-		onRenew(target) {
-			path.renew(target);
+		onRestart(target) {
+			path.resetTarget(target);
 		},
-		onFormed(unit) {
-			path.reopen(unit);
+		onGroupFormed(unit) {
+			path.noteGroupFormed(unit);
 		},
 		log: {view: log, fleet: log, entry: log},
 	});
--- a/features/support/store-crowd.ts
+++ b/features/support/store-crowd.ts
@@ -264,7 +264,7 @@
 
 	/* An entry without a configuration in force serves nobody. */
 	private isUsed({path, version}: StoreEntry, id: string): boolean {
-		return version > 0 && path.book.directory.list('desk').some(target => target.id === id);
+		return version > 0 && path.tracker.directory.list('desk').some(target => target.id === id);
 	}
 
 	private write(key: string, value: unknown): void {
@@ -340,7 +340,7 @@
 	}
 
 	private noteUse(entry: StoreEntry): void {
-		const used = new Set(entry.path.book.directory.list('desk').map(({id}) => id));
+		const used = new Set(entry.path.tracker.directory.list('desk').map(({id}) => id));
 		for (const id of entry.used) {
 			if (this.isWatchingUse && !used.has(id) && this.writings.has(getKey(id)) && !this.left.has(id)) {
 				this.unused.add(`${id} at ${entry.id}`);
--- a/features/support/store-entry.ts
+++ b/features/support/store-entry.ts
@@ -1,12 +1,12 @@
 import {type makeEntryState} from '../../src/forward/make-entry-state.js';
-import {type makeForwardPath} from '../../src/forward/make-forward-path.js';
+import {type makeForwardPipeline} from '../../src/forward/make-forward-pipeline.js';
 
 /** An entry of a crowd that follows one store, and what was seen at it. */
 export type StoreEntry = {
 	readonly id: string;
 	readonly address: string;
 	readonly startedAt: number;
-	readonly path: ReturnType<typeof makeForwardPath>;
+	readonly path: ReturnType<typeof makeForwardPipeline>;
 	readonly state: ReturnType<typeof makeEntryState>;
 	/** Versions that have served callers here, the last at the end. */
 	readonly servedVersions: Set<number>;
--- a/src/admission/admission-queue.ts
+++ b/src/admission/admission-queue.ts
@@ -94,7 +94,7 @@
 	}
 
 	/** Removes and gives the waiting requests whose deadline has passed. */
-	dropLate(now: number): AdmissionRequest[] {
+	removeExpired(now: number): AdmissionRequest[] {
 		const late = this.queue.filter(({request}) => request.deadline <= now).map(({request}) => request);
 		for (const {id} of late) {
 			this.remove(id);
--- a/src/calls/target-pool.ts
+++ b/src/calls/target-pool.ts
@@ -1,7 +1,7 @@
 import {type Vm} from '../vm-list/vm.js';
 import {type Candidate} from '../routing/candidate.js';
 import {chooseTarget} from '../routing/choose-target.js';
-import {Circuit} from '../routing/circuit.js';
+import {CircuitBreaker} from '../routing/circuit-breaker.js';
 import {hashText} from '../routing/hash-text.js';
 import {pickSubset} from '../routing/pick-subset.js';
 import {type RoutingRequest} from '../routing/routing-request.js';
@@ -23,7 +23,7 @@
 };
 
 type Service = {readonly kind: 'model' | 'plain'; vms: Vm[]; picked: Vm[]};
-type PooledLink = {readonly link: TargetLink; readonly circuit: Circuit; readonly hash: number};
+type PooledLink = {readonly link: TargetLink; readonly circuit: CircuitBreaker; readonly hash: number};
 
 /** Share of a service's targets that may be kept out for failing; the rest are used whatever they did. */
 const maximumOpenShare = 1 / 3;
@@ -104,7 +104,7 @@
 
 		const chosen = chooseTarget(usable.map(pooled => this.describe(pooled)), choice);
 		const pooled = chosen && this.links.get(chosen.id);
-		pooled?.circuit.send();
+		pooled?.circuit.noteSend();
 		return pooled?.link;
 	}
 
@@ -112,9 +112,9 @@
 	noteResult(id: string, isGood: boolean, now: number): void {
 		const circuit = this.links.get(id)?.circuit;
 		if (isGood) {
-			circuit?.succeed();
+			circuit?.noteSuccess();
 		} else {
-			circuit?.fail(now);
+			circuit?.noteFailure(now);
 		}
 	}
 
@@ -165,7 +165,7 @@
 		}
 
 		known?.link.close();
-		const pooled = {link: this.options.openLink(vm), circuit: new Circuit(), hash: hashText(vm.id)};
+		const pooled = {link: this.options.openLink(vm), circuit: new CircuitBreaker(), hash: hashText(vm.id)};
 		this.links.set(vm.id, pooled);
 		return pooled;
 	}
--- a/src/decisions/admit-stream.ts
+++ b/src/decisions/admit-stream.ts
@@ -13,7 +13,7 @@
 	readonly isLate: boolean;
 };
 
-type Admission = {readonly kind: 'admitted'} | {readonly kind: 'refused'; readonly pauseMs: number; readonly most: number};
+type Admission = {readonly kind: 'admitted'} | {readonly kind: 'refused'; readonly pauseMs: number; readonly maximumInFlight: number};
 
 /**
  * Shares of the longest pause that the usual one may take. One long pause makes a whole stream late, and the longest of
@@ -37,9 +37,9 @@
  * longer, until all are late together; then a few are refused at once rather than all served late.
  */
 export function admitStream({forecast, pace, targetGapMs, inFlight, targets, isLate}: Situation): Admission {
-	const highest = forecast.getMostLoad(mostUsualShare * targetGapMs, pace);
-	const lowest = forecast.getMostLoad(leastUsualShare * targetGapMs, pace);
-	const inSpike = forecast.getMostLoadInSpike(spikeShare * targetGapMs, pace);
+	const highest = forecast.getMaximumLoad(mostUsualShare * targetGapMs, pace);
+	const lowest = forecast.getMaximumLoad(leastUsualShare * targetGapMs, pace);
+	const inSpike = forecast.getMaximumLoadInSpike(spikeShare * targetGapMs, pace);
 	if (highest === undefined || lowest === undefined || inSpike === undefined || targets === 0) {
 		return {kind: 'admitted'};
 	}
@@ -50,5 +50,5 @@
 		return {kind: 'admitted'};
 	}
 
-	return {kind: 'refused', pauseMs: forecast.predict((inFlight + 1) / targets, pace)!, most};
+	return {kind: 'refused', pauseMs: forecast.predict((inFlight + 1) / targets, pace)!, maximumInFlight: most};
 }
--- a/src/decisions/pause-forecast.ts
+++ b/src/decisions/pause-forecast.ts
@@ -59,12 +59,12 @@
 	}
 
 	/** Most requests in flight at each target with which the usual pause lasts no longer than so; undefined before any was seen. */
-	getMostLoad(pauseMs: number, pace: Pace): number | undefined {
+	getMaximumLoad(pauseMs: number, pace: Pace): number | undefined {
 		return this.usual === undefined ? undefined : this.findLoad(pauseMs / this.usual, pace);
 	}
 
 	/** The same, so that pauses last no longer even if passes become as slow as they were in the last spike. */
-	getMostLoadInSpike(pauseMs: number, pace: Pace): number | undefined {
+	getMaximumLoadInSpike(pauseMs: number, pace: Pace): number | undefined {
 		return this.usual === undefined ? undefined : this.findLoad(pauseMs / this.worst, pace);
 	}
 
--- a/src/forward/answer-marks.ts
+++ b/src/forward/answer-metadata.ts
@@ -1,5 +1,5 @@
 /** What a target says of its answer, and of itself, beside status and body. */
-export type AnswerMarks = {
+export type AnswerMetadata = {
 	readonly status: number;
 	/** Id of the request that the answer belongs to; undefined when the target names none. */
 	readonly requestId: string | undefined;
@@ -16,12 +16,12 @@
 	/** Whether the target says that it is about to leave, and wants nothing new. */
 	readonly isLeaving: boolean;
 	/** How long the target wants nothing from this process, milliseconds; undefined when it does not say, or not so that it can be read. */
-	readonly restMs: number | undefined;
+	readonly retryAfterMs: number | undefined;
 	/** The rate at which the target takes requests from all entries together; undefined when it names none. */
 	readonly limit: {
 		/** Undefined when what it names cannot be read. */
 		readonly perSecond: number | undefined;
 	} | undefined;
 	/** What it said of its rest, as it was sent, for the log. */
-	readonly retryAfter: string | undefined;
+	readonly retryAfterText: string | undefined;
 };
--- a/src/forward/choose-return-time.ts
+++ b/src/forward/choose-retry-delay.ts
@@ -14,7 +14,7 @@
  * @param shutMs - time until a target takes requests again, milliseconds; 0 when some do
  * @returns milliseconds from now
  */
-export function chooseReturnTime(leftMs: number, spread: number, shutMs: number): number {
+export function chooseRetryDelay(leftMs: number, spread: number, shutMs: number): number {
 	const latestMs = Math.max(0, leftMs) * honouredShare;
 	return shutMs === 0 ? latestMs * (1 - spread) : shutMs + (spread * Math.max(0, Math.min(shutMs, latestMs - shutMs)));
 }
--- a/src/forward/conclude-request.ts
+++ b/src/forward/conclude-request.ts
@@ -1,7 +1,7 @@
 import {err, ok, type Result} from 'neverthrow';
 import {Problem} from '../requests/problem.js';
 import {type ForwardExchange} from './forward-exchange.js';
-import {relayHeldAnswer} from './relay-held-answer.js';
+import {relayBufferedAnswer} from './relay-buffered-answer.js';
 import {type SendProgress} from './send-progress.js';
 
 /**
@@ -15,16 +15,16 @@
 	if (progress.delivery.hasBegun) {
 		// What the caller has must not pass for a whole answer.
 		exchange.response.destroy();
-		exchange.note(`broken off: ${detail}`);
+		exchange.noteDecision(`broken off: ${detail}`);
 		return ok();
 	}
 
 	if (progress.failure) {
-		relayHeldAnswer(progress.failure, exchange);
+		relayBufferedAnswer(progress.failure, exchange);
 		return ok();
 	}
 
-	if (progress.isUnrun) {
+	if (progress.isNotRun) {
 		return err(new Problem({
 			status: 503, title: 'No target takes the request', detail, outcome: 'not-run', retryAfterMs,
 		}));
--- a/src/forward/crash-watch.ts
+++ b/src/forward/crash-detector.ts
@@ -19,7 +19,7 @@
 	/** Whether it is for this entry, among those that are heard, to see how something stands. */
 	readonly isElected: (key: string, now: number) => boolean;
 	/** Called when peers should hear at once what has been found. */
-	readonly onFound: () => void;
+	readonly onCrashFound: () => void;
 	readonly clock: () => number;
 	readonly log: (message: string) => void;
 };
@@ -28,7 +28,7 @@
  * Tells targets that crash from connections that are lost, and refuses the requests that crash them. A cut link, a frozen VM and a
  * target that breaks answers off are no crash: where one has crashed, its VM says that nobody listens, or it registers a new life.
  */
-export class CrashWatch {
+export class CrashDetector {
 	readonly suspects: CrashSuspects;
 	/** Targets that are being looked at. */
 	private readonly checked = new Set<string>();
@@ -48,7 +48,7 @@
 	}
 
 	/** Notes that a request was lost at a target. */
-	noteLost({fingerprint}: ForwardExchange, target: Target, {isCut, answeringMs}: Lost): void {
+	noteLost({fingerprint}: ForwardExchange, target: Target, {isConnectionClosed: isCut, answeringMs}: Lost): void {
 		const hasJustBegun = answeringMs === undefined || answeringMs <= beginMs;
 		this.suspects.noteLoss({fingerprint, life: target, hasJustBegun}, this.options.clock());
 		if (isCut && !this.checked.has(target.id)) {
@@ -57,7 +57,7 @@
 	}
 
 	/** Notes that a target has started again under its id. */
-	noteRenewal(target: string): void {
+	noteRestart(target: string): void {
 		this.reportCrash(target);
 	}
 
@@ -76,7 +76,7 @@
 	}
 
 	private reportCrash(target: string): void {
-		const {clock, onFound} = this.options;
+		const {clock, onCrashFound: onFound} = this.options;
 		if (this.suspects.noteCrash(target, clock())) {
 			onFound();
 		}
--- a/src/forward/describe-end.ts
+++ b/src/forward/describe-request.ts
@@ -10,8 +10,8 @@
 };
 
 /** One log line on a request: its id, what was decided on which grounds, how old these were, and the outcome. */
-export function describeEnd(exchange: ForwardExchange, problem: Problem | undefined, {era, viewAgeMs, now}: Circumstances): string {
-	const {marks, route, service, configurationVersion, response, trail, arrivedAt, departure} = exchange;
+export function describeRequest(exchange: ForwardExchange, problem: Problem | undefined, {era, viewAgeMs, now}: Circumstances): string {
+	const {metadata: marks, route, service, configurationVersion, response, decisions: trail, arrivedAt, disconnection: departure} = exchange;
 	const outcome = problem ? `${problem.options.status} ${problem.options.outcome}: ${problem.message}` : String(response.statusCode);
 	const comeBack = problem?.options.retryAfterMs ? `, come back in ${Math.round(problem.options.retryAfterMs)} ms` : '';
 	const left = departure.signal.aborted ? ', caller left or was cut off' : '';
--- a/src/forward/filters/make-route-filter.ts
+++ b/src/forward/filters/make-route-filter.ts
@@ -32,7 +32,7 @@
 			}));
 		}
 
-		const {incoming, marks} = exchange;
+		const {incoming, metadata: marks} = exchange;
 		if (countBytes(incoming.rawHeaders) > table.configuration.limits.maximumHeaderBytes) {
 			return err(new Problem({
 				status: 431, title: 'Headers too large', detail: `at most ${table.configuration.limits.maximumHeaderBytes} bytes are accepted`, outcome: 'not-run',
--- a/src/forward/fleet-state.ts
+++ b/src/forward/fleet-state.ts
@@ -15,9 +15,9 @@
 	/** Told of a target that takes no more requests. */
 	readonly onLeave: (target: string) => void;
 	/** Told of a target that has started again under its id. */
-	readonly onRenew: (target: string) => void;
+	readonly onRestart: (target: string) => void;
 	/** Told of a group, as `SERVICE/GROUP`, that has been formed anew. */
-	readonly onFormed: (unit: string) => void;
+	readonly onGroupFormed: (unit: string) => void;
 };
 
 /** The configuration and the targets in force at this process, as far as its view of the store goes. */
@@ -40,7 +40,7 @@
 		this.refreshTable();
 		for (const unit of this.groups.replace(this.options.view.list(groupKeys.prefix))) {
 			this.options.log(`group ${unit} has been formed anew`);
-			this.options.onFormed(unit);
+			this.options.onGroupFormed(unit);
 		}
 
 		this.refreshTargets(now);
@@ -117,7 +117,7 @@
 	}
 
 	private refreshTargets(now: number): void {
-		const {view, directory, log, onLeave, onRenew} = this.options;
+		const {view, directory, log, onLeave, onRestart: onRenew} = this.options;
 		const targets = this.readTargets();
 		const {gone, renewed} = directory.replace(targets, now, view.isReturning(now));
 		for (const {id} of gone) {
--- a/src/forward/forward-surroundings.ts
+++ b/src/forward/forward-dependencies.ts
@@ -5,7 +5,7 @@
 import {type HeaderDialect} from './header-dialect.js';
 
 /** What an entry that forwards straight to targets is given from outside: its platform, its clock, its luck. */
-export type ForwardSurroundings = {
+export type ForwardDependencies = {
 	readonly feed: ChangeFeed;
 	readonly registry: Registry;
 	readonly source: FleetSource;
--- a/src/forward/forward-dispatcher.ts
+++ b/src/forward/forward-dispatcher.ts
@@ -3,18 +3,18 @@
 import {type Target} from '../fleet/target.js';
 import {type Problem} from '../requests/problem.js';
 import {type Answer} from './answer.js';
-import {chooseReturnTime} from './choose-return-time.js';
+import {chooseRetryDelay} from './choose-retry-delay.js';
 import {concludeRequest} from './conclude-request.js';
 import {type ForwardExchange} from './forward-exchange.js';
-import {limitSend} from './limit-send.js';
+import {sendWithTimeouts} from './send-with-timeouts.js';
 import {pickService} from './pick-service.js';
 import {type Refusal} from './refusal.js';
-import {relayHeldAnswer} from './relay-held-answer.js';
-import {ReturnSchedule} from './return-schedule.js';
-import {returnSpreads} from './return-spreads.js';
+import {relayBufferedAnswer} from './relay-buffered-answer.js';
+import {RetrySchedule} from './retry-schedule.js';
+import {retrySpreads} from './retry-spreads.js';
 import {type SendOutcome} from './send-outcome.js';
 import {type SendProgress} from './send-progress.js';
-import {type StallWatch} from './stall-watch.js';
+import {type StallDetector} from './stall-detector.js';
 import {StreamDelivery} from './stream-delivery.js';
 import {TargetPicker} from './target-picker.js';
 import {type TargetTransport} from './target-transport.js';
@@ -22,7 +22,7 @@
 type DispatcherOptions = ConstructorParameters<typeof TargetPicker>[0] & {
 	/** The way to a target. */
 	readonly send: TargetTransport['send'];
-	readonly stalls: StallWatch;
+	readonly stalls: StallDetector;
 	/** Entries that are registered. */
 	readonly countRegistered: () => number;
 	readonly onSend: (service: string, isRepeat: boolean) => void;
@@ -34,7 +34,7 @@
 /** Sends each request to a target with room, and elsewhere when that is safe and within the budget. */
 export class ForwardDispatcher {
 	private readonly picker: TargetPicker;
-	private readonly returns = new ReturnSchedule();
+	private readonly returns = new RetrySchedule();
 
 	constructor(private readonly options: DispatcherOptions) {
 		this.picker = new TargetPicker(options);
@@ -51,9 +51,9 @@
 			excluded: new Set(),
 			sent: 0,
 			misdirected: 0,
-			tries: 0,
-			isUnrun: true,
-			isPaid: false,
+			attempts: 0,
+			isNotRun: true,
+			isRetryCharged: false,
 			reason: 'no target is registered, or all leave',
 			failure: undefined,
 			isExpired: false,
@@ -74,10 +74,10 @@
 	}
 
 	private async sendTo(target: Target, exchange: ForwardExchange, progress: SendProgress): Promise<SendOutcome> {
-		const {board, book, clock, send, stalls, onSend} = this.options;
+		const {board, tracker: book, clock, send, stalls, onSend} = this.options;
 		const now = clock();
 		const remainingMs = exchange.deadline - now;
-		if (exchange.departure.signal.aborted) {
+		if (exchange.disconnection.signal.aborted) {
 			return {kind: 'not-run', reason: 'the caller left', wasSent: false};
 		}
 
@@ -89,11 +89,11 @@
 		progress.inFlight = board.count(target.id, now);
 		board.begin(target.id, now);
 		book.noteSend(target.id, now);
-		progress.isPaid = false;
+		progress.isRetryCharged = false;
 		onSend(exchange.service, progress.sent > 0);
-		progress.tries++;
+		progress.attempts++;
 		try {
-			return await limitSend({
+			return await sendWithTimeouts({
 				exchange,
 				target,
 				progress,
@@ -111,12 +111,12 @@
 	/* Decides what the end of one send means; undefined to try another target. */
 	private judge(outcome: SendOutcome, target: Target, exchange: ForwardExchange, progress: SendProgress): Result<void, Problem> | undefined {
 		const now = this.options.clock();
-		const isOver = exchange.departure.signal.aborted || progress.isExpired;
+		const isOver = exchange.disconnection.signal.aborted || progress.isExpired;
 		switch (outcome.kind) {
 			case 'streamed': {
-				this.options.book.health.note(target.id, false, now);
+				this.options.tracker.health.note(target.id, false, now);
 				this.options.crashes.noteAnswered(exchange);
-				exchange.note(`streamed by ${target.id}`);
+				exchange.noteDecision(`streamed by ${target.id}`);
 				return ok();
 			}
 
@@ -130,20 +130,20 @@
 				progress.misdirected += outcome.cause === 'gone' ? 1 : 0;
 				this.noteFailure(target, outcome.reason, progress, exchange);
 				this.noteCause(outcome, target, isOver, now);
-				return isOver ? this.conclude(exchange, progress, {spread: returnSpreads.overload, detail: outcome.reason}) : undefined;
+				return isOver ? this.conclude(exchange, progress, {spread: retrySpreads.overload, detail: outcome.reason}) : undefined;
 			}
 
 			default: {
 				progress.sent++;
-				progress.isUnrun = false;
+				progress.isNotRun = false;
 				this.noteFailure(target, outcome.reason, progress, exchange);
 				if (!isOver) {
 					this.options.crashes.noteLost(exchange, target, outcome);
-					this.options.book.health.note(target.id, true, now);
+					this.options.tracker.health.note(target.id, true, now);
 				}
 
-				const mayRepeat = exchange.isRepeatable && !isOver;
-				return mayRepeat ? undefined : this.conclude(exchange, progress, {spread: returnSpreads.overload, detail: outcome.reason});
+				const mayRepeat = exchange.isRetryable && !isOver;
+				return mayRepeat ? undefined : this.conclude(exchange, progress, {spread: retrySpreads.overload, detail: outcome.reason});
 			}
 		}
 	}
@@ -151,31 +151,31 @@
 	private judgeAnswer(answer: Answer, target: Target, exchange: ForwardExchange, progress: SendProgress): Result<void, Problem> | undefined {
 		const now = this.options.clock();
 		const hasFailed = answer.status >= serverError;
-		this.options.book.health.note(target.id, hasFailed, now);
+		this.options.tracker.health.note(target.id, hasFailed, now);
 		this.options.crashes.noteAnswered(exchange);
-		exchange.note(`${answer.status} by ${target.id}`);
+		exchange.noteDecision(`${answer.status} by ${target.id}`);
 		if (progress.delivery.hasBegun) {
-			progress.isUnrun = false;
+			progress.isNotRun = false;
 			progress.excluded.add(target.id);
 			progress.reason = `target answered ${answer.status} within a stream`;
 			return undefined;
 		}
 
-		if (hasFailed && exchange.isRepeatable) {
-			progress.isUnrun = false;
+		if (hasFailed && exchange.isRetryable) {
+			progress.isNotRun = false;
 			progress.failure = answer;
 			progress.excluded.add(target.id);
 			return undefined;
 		}
 
-		this.options.book.health.noteLatency(target.id, now - exchange.arrivedAt, now);
-		relayHeldAnswer(answer, exchange);
+		this.options.tracker.health.noteLatency(target.id, now - exchange.arrivedAt, now);
+		relayBufferedAnswer(answer, exchange);
 		return ok();
 	}
 
 	/* A refusal also says something of the target. */
 	private noteCause({cause, wasSent}: Extract<SendOutcome, {kind: 'not-run'}>, target: Target, isOver: boolean, now: number): void {
-		const {gate, book: {directory, health}} = this.options;
+		const {gate, tracker: {directory, health}} = this.options;
 		if (cause === 'group-down') {
 			gate.close(getUnit(target), now, `target ${target.id} refuses since its group has stopped`);
 		} else if (cause === 'gone') {
@@ -189,25 +189,25 @@
 	private noteFailure(target: Target, reason: string, progress: SendProgress, exchange: ForwardExchange): void {
 		progress.reason = reason;
 		progress.excluded.add(target.id);
-		exchange.note(`${target.id} with ${progress.inFlight} in flight: ${reason}`);
+		exchange.noteDecision(`${target.id} with ${progress.inFlight} in flight: ${reason}`);
 	}
 
-	private conclude(exchange: ForwardExchange, progress: SendProgress, {detail, spread, shutMs}: Refusal): Result<void, Problem> {
+	private conclude(exchange: ForwardExchange, progress: SendProgress, {detail, spread, unavailableMs: shutMs}: Refusal): Result<void, Problem> {
 		const {clock, random} = this.options;
 		const leftMs = exchange.deadline - clock();
 		const placeMs = shutMs === undefined ? undefined : this.bookPlace(exchange.service, leftMs, shutMs);
-		return concludeRequest(exchange, progress, detail, placeMs ?? chooseReturnTime(leftMs, spread * random(), shutMs ?? 0));
+		return concludeRequest(exchange, progress, detail, placeMs ?? chooseRetryDelay(leftMs, spread * random(), shutMs ?? 0));
 	}
 
 	/* Where all targets of a service name limits, callers come back at the pace at which this entry's part of the places comes. */
 	private bookPlace(service: string, leftMs: number, shutMs: number): number | undefined {
-		const {book, clock, countRegistered, random} = this.options;
-		const perSecond = book.getPlacesPerSecond(service) / Math.max(1, countRegistered());
+		const {tracker: book, clock, countRegistered, random} = this.options;
+		const perSecond = book.getTotalRate(service) / Math.max(1, countRegistered());
 		if (!Number.isFinite(perSecond)) {
 			return undefined;
 		}
 
-		const latestMs = chooseReturnTime(leftMs, 0, 0);
-		return this.returns.book(service, {earliestMs: shutMs, latestMs, intervalMs: 1000 / perSecond}, random(), clock());
+		const latestMs = chooseRetryDelay(leftMs, 0, 0);
+		return this.returns.reserve(service, {earliestMs: shutMs, latestMs, intervalMs: 1000 / perSecond}, random(), clock());
 	}
 }
--- a/src/forward/forward-exchange.ts
+++ b/src/forward/forward-exchange.ts
@@ -1,9 +1,9 @@
 import {type IncomingMessage, type ServerResponse} from 'node:http';
 import {type Route} from '../fleet/route.js';
 import {fingerprintRequest} from './fingerprint-request.js';
-import {type RequestMarks} from './request-marks.js';
+import {type RequestMetadata} from './request-metadata.js';
 
-type Origin = Pick<ForwardExchange, 'incoming' | 'response' | 'arrivedAt' | 'marks' | 'isAllowedToKeepOpen'>;
+type Origin = Pick<ForwardExchange, 'incoming' | 'response' | 'arrivedAt' | 'metadata' | 'mayKeepAlive'>;
 
 /** One request of a caller on its way through the filters to a target and back. */
 export class ForwardExchange {
@@ -17,28 +17,28 @@
 	/** Service that the request goes to. */
 	service = '';
 	/** What was decided and why, for the log line. */
-	readonly trail: string[] = [];
+	readonly decisions: string[] = [];
 	/** Aborted when the caller has gone away. */
-	readonly departure = new AbortController();
+	readonly disconnection = new AbortController();
 
 	readonly incoming: IncomingMessage;
 	readonly response: ServerResponse;
 	readonly arrivedAt: number;
-	readonly marks: RequestMarks;
+	readonly metadata: RequestMetadata;
 	/** Whether the caller's connection may stay open after the answer. */
-	readonly isAllowedToKeepOpen: () => boolean;
+	readonly mayKeepAlive: () => boolean;
 	private knownFingerprint: string | undefined;
 
 	constructor(origin: Origin) {
 		this.incoming = origin.incoming;
 		this.response = origin.response;
 		this.arrivedAt = origin.arrivedAt;
-		this.marks = origin.marks;
-		this.isAllowedToKeepOpen = origin.isAllowedToKeepOpen;
+		this.metadata = origin.metadata;
+		this.mayKeepAlive = origin.mayKeepAlive;
 	}
 
 	/** Whether the request may run more than once. */
-	get isRepeatable(): boolean {
+	get isRetryable(): boolean {
 		return this.route?.kind === 'idempotent' || (this.route?.kind === 'stream' && this.route.isResumable);
 	}
 
@@ -52,7 +52,7 @@
 	}
 
 	/** Notes a decision for the log line. */
-	note(decision: string): void {
-		this.trail.push(decision);
+	noteDecision(decision: string): void {
+		this.decisions.push(decision);
 	}
 }
--- a/src/forward/forward-server.ts
+++ b/src/forward/forward-server.ts
@@ -55,7 +55,7 @@
 	}
 
 	/** Sets how long callers may take for headers, and stay idle, milliseconds. */
-	limit(headerTimeoutMs: number, idleTimeoutMs: number): void {
+	setTimeouts(headerTimeoutMs: number, idleTimeoutMs: number): void {
 		this.server.headersTimeout = headerTimeoutMs;
 		this.server.keepAliveTimeout = idleTimeoutMs;
 	}
@@ -96,12 +96,12 @@
 			incoming,
 			response,
 			arrivedAt: clock(),
-			marks: dialect.readRequest(incoming.headers),
-			isAllowedToKeepOpen: () => !this.isStopping,
+			metadata: dialect.readRequest(incoming.headers),
+			mayKeepAlive: () => !this.isStopping,
 		});
 		response.on('close', () => {
 			if (!response.writableFinished) {
-				exchange.departure.abort();
+				exchange.disconnection.abort();
 			}
 		});
 		response.on('finish', () => {
@@ -115,7 +115,7 @@
 			const result = await runFilters(filters, exchange);
 			this.finish(exchange, result);
 		} catch (error) {
-			log(`request ${exchange.marks.id ?? '-'} failed within: ${(error as Error).stack ?? String(error)}`);
+			log(`request ${exchange.metadata.id ?? '-'} failed within: ${(error as Error).stack ?? String(error)}`);
 			response.destroy();
 		} finally {
 			this.leave();
@@ -130,7 +130,7 @@
 		this.options.onEnd(exchange, result.isErr() ? result.error : undefined);
 	}
 
-	private refuse({response, incoming, isAllowedToKeepOpen}: ForwardExchange, {options}: Problem): void {
+	private refuse({response, incoming, mayKeepAlive: isAllowedToKeepOpen}: ForwardExchange, {options}: Problem): void {
 		// A body that was not read may be anything: what follows it is not taken for a request.
 		response.shouldKeepAlive &&= isAllowedToKeepOpen() && incoming.complete;
 		if (options.retryAfterMs !== undefined && options.retryAfterMs > 0) {
--- a/src/forward/header-dialect.ts
+++ b/src/forward/header-dialect.ts
@@ -1,6 +1,6 @@
 import {type IncomingHttpHeaders} from 'node:http';
-import {type AnswerMarks} from './answer-marks.js';
-import {type RequestMarks} from './request-marks.js';
+import {type AnswerMetadata} from './answer-metadata.js';
+import {type RequestMetadata} from './request-metadata.js';
 
 type SendMarks = {
 	readonly targetId: string;
@@ -14,10 +14,10 @@
 /** The headers by which callers, entries and targets label requests and answers; names differ between platforms. */
 export type HeaderDialect = {
 	/** Names, in lower case, that only this process may set towards a target. */
-	readonly ownHeaders: ReadonlySet<string>;
-	readRequest(headers: IncomingHttpHeaders): RequestMarks;
+	readonly reservedHeaders: ReadonlySet<string>;
+	readRequest(headers: IncomingHttpHeaders): RequestMetadata;
 	/** Labels a request for one target, names in lower case. */
-	markRequest(marks: SendMarks): Record<string, string>;
+	makeRequestHeaders(marks: SendMarks): Record<string, string>;
 	/** @param headers - names in lower case */
-	readAnswer(status: number, headers: ReadonlyMap<string, string>): AnswerMarks;
+	readAnswer(status: number, headers: ReadonlyMap<string, string>): AnswerMetadata;
 };
--- a/src/forward/limit-permits.ts
+++ b/src/forward/limit-permits.ts
@@ -18,7 +18,7 @@
 	/** Entries that are registered, heard or not, this one included. */
 	readonly countRegistered: () => number;
 	/** Sends a peer a question; false when there is no way to it. */
-	readonly ask: (peer: string, question: Wanted) => boolean;
+	readonly sendToPeer: (peer: string, question: Wanted) => boolean;
 	readonly clock: () => number;
 };
 
@@ -74,7 +74,7 @@
 	}
 
 	/** Answers a peer that takes this entry for a target's keeper. */
-	answer({number, limit}: Wanted): MessageOf<'permit'> {
+	handleRequest({number, limit}: Wanted): MessageOf<'permit'> {
 		const {limits, address, clock} = this.options;
 		const now = clock();
 		limits.merge(limit, now);
@@ -90,7 +90,7 @@
 	}
 
 	/** Takes a keeper's answer. One that comes too late is not used: what it permits was for then. */
-	receive({number, isGranted, nextMs}: MessageOf<'permit'>): void {
+	handleAnswer({number, isGranted, nextMs}: MessageOf<'permit'>): void {
 		const question = this.questions.get(number);
 		const isLate = question !== undefined && this.options.clock() - question.askedAt > answerMs;
 		question?.resolve(isLate ? undefined : {isGranted, nextMs});
@@ -122,7 +122,7 @@
 	private async ask(keeper: string, limit: Wanted['limit'], now: number): Promise<Permit | undefined> {
 		const isSilent = now < (this.silentUntil.get(keeper) ?? 0);
 		const number = ++this.lastNumber;
-		if (isSilent || !this.options.ask(keeper, {type: 'permit-wanted', number, limit})) {
+		if (isSilent || !this.options.sendToPeer(keeper, {type: 'permit-wanted', number, limit})) {
 			return undefined;
 		}
 
--- a/src/forward/make-entry-state.ts
+++ b/src/forward/make-entry-state.ts
@@ -16,7 +16,7 @@
 type MeshOptions = ConstructorParameters<typeof EntryMesh>[0];
 type StateOptions = ConstructorParameters<typeof FleetState>[0];
 
-type EntryStateOptions = Pick<MeshOptions, 'getDigest' | 'onDigest' | 'onMessage'> & Pick<StateOptions, 'onTable' | 'onLeave' | 'onRenew' | 'onFormed'> & {
+type EntryStateOptions = Pick<MeshOptions, 'getDigest' | 'onDigest' | 'onMessage'> & Pick<StateOptions, 'onTable' | 'onLeave' | 'onRestart' | 'onGroupFormed'> & {
 	readonly id: string;
 	readonly incarnation: string;
 	/** Address and port of this entry's links. */
--- a/src/forward/make-forward-path.ts
+++ b/src/forward/make-forward-pipeline.ts
@@ -7,18 +7,18 @@
 import {getUnit} from '../fleet/get-unit.js';
 import {type EntryDigest} from '../mesh/entry-digest.js';
 import {rankByRendezvous} from '../routing/rank-by-rendezvous.js';
-import {CrashWatch} from './crash-watch.js';
+import {CrashDetector} from './crash-detector.js';
 import {ForwardDispatcher} from './forward-dispatcher.js';
-import {type ForwardSurroundings} from './forward-surroundings.js';
-import {StallWatch} from './stall-watch.js';
+import {type ForwardDependencies} from './forward-dependencies.js';
+import {StallDetector} from './stall-detector.js';
 import {StreamAdmission} from './stream-admission.js';
-import {TargetBook} from './target-book.js';
+import {TargetTracker} from './target-tracker.js';
 import {type TargetTransport} from './target-transport.js';
 import {type TransportListener} from './transport-listener.js';
 
-type BookOptions = ConstructorParameters<typeof TargetBook>[0];
+type BookOptions = ConstructorParameters<typeof TargetTracker>[0];
 
-type PathOptions = Pick<ForwardEntrySettings, 'availabilityZone' | 'repeats'> & Pick<ForwardSurroundings, 'clock' | 'random'> & Omit<BookOptions, 'countInFlight' | 'electEntry'> & {
+type PathOptions = Pick<ForwardEntrySettings, 'availabilityZone' | 'repeats'> & Pick<ForwardDependencies, 'clock' | 'random'> & Omit<BookOptions, 'countInFlight' | 'electEntry'> & {
 	/** Address of this entry's links; peers are named by theirs. */
 	readonly address: string;
 	/** Opens the way to targets; the listener is told what is seen on it. */
@@ -26,15 +26,15 @@
 	/** What operators have configured for a service; undefined while it is not known. */
 	readonly getService: (name: string) => Service | undefined;
 	/** Called when this entry's own requests in flight change. */
-	readonly onLoad: () => void;
+	readonly onLoadChange: () => void;
 	/** Called when peers should hear at once what has been found. */
-	readonly onFound: () => void;
+	readonly onCrashFound: () => void;
 	readonly onSend: (service: string, isRepeat: boolean) => void;
 };
 
-type ForwardPath = {
+type ForwardPipeline = {
 	readonly board: LoadBoard;
-	readonly book: TargetBook;
+	readonly tracker: TargetTracker;
 	readonly dispatcher: ForwardDispatcher;
 	/** What peers are told; all of it where the peer may have heard nothing yet. */
 	getDigest(isWhole: boolean, now: number): EntryDigest;
@@ -43,29 +43,29 @@
 	/** Looks for what has gone silent. */
 	tick(): void;
 	/** Drops what is kept for a target that takes no more requests. */
-	forget(target: string): void;
+	removeTarget(target: string): void;
 	/** Drops what is known of the former life of a target that has started again. */
-	renew(target: string): void;
+	resetTarget(target: string): void;
 	/** Lets requests go to a group that has been formed anew. */
-	reopen(unit: string): void;
+	noteGroupFormed(unit: string): void;
 	close(): void;
 };
 
 /** Puts together what takes a request from the filters to a target: choice, gate, budget, connections, watch. */
-export function makeForwardPath(options: PathOptions): ForwardPath {
-	const {availabilityZone, repeats, openTransport, clock, random, countRegistered, getService, onLoad, onFound, onSend, log, address, listPeers} = options;
+export function makeForwardPipeline(options: PathOptions): ForwardPipeline {
+	const {availabilityZone, repeats, openTransport, clock, random, countRegistered, getService, onLoadChange: onLoad, onCrashFound: onFound, onSend, log, address, listPeers} = options;
 	const board = new LoadBoard(onLoad);
 	const electEntry = (key: string, now: number): string => rankByRendezvous(key, [address, ...listPeers(now)])[0];
-	const book = new TargetBook({...options, electEntry, countInFlight: target => board.count(target, clock())});
+	const book = new TargetTracker({...options, electEntry, countInFlight: target => board.count(target, clock())});
 	const {directory, health} = book;
 	const gate = new ServiceGate(log);
 	const admission = new StreamAdmission({
 		board,
-		listOpen: (service, now) => book.listOpen(service, now),
-		isSound: ({id}, now) => book.getStanding(id, now) === 'sound',
+		listAvailable: (service, now) => book.listAvailable(service, now),
+		isHealthy: ({id}, now) => book.getStanding(id, now) === 'sound',
 		getService,
 	});
-	const stalls = new StallWatch({
+	const stalls = new StallDetector({
 		board,
 		health,
 		clock,
@@ -79,7 +79,7 @@
 	});
 	const transport: TargetTransport = openTransport({
 		onHead(target, marks, sentAt) {
-			book.noteHead({target, marks, sentAt}, clock());
+			book.noteAnswerHead({target, marks, sentAt}, clock());
 		},
 		onProgress(target) {
 			const now = clock();
@@ -90,17 +90,17 @@
 			admission.noteGap(target, gapMs);
 		},
 	});
-	const crashes = new CrashWatch({
+	const crashes = new CrashDetector({
 		check: async target => transport.check(target),
 		health,
 		isElected: (key, now) => electEntry(key, now) === address,
-		onFound,
+		onCrashFound: onFound,
 		clock,
 		log,
 	});
 	const dispatcher = new ForwardDispatcher({
 		send: async sendOptions => transport.send(sendOptions),
-		book,
+		tracker: book,
 		crashes,
 		board,
 		gate,
@@ -117,7 +117,7 @@
 
 	return {
 		board,
-		book,
+		tracker: book,
 		dispatcher,
 		getDigest: (isWhole, now) => ({...book.getDigest(now), ...crashes.suspects.getDigest(isWhole, now)}),
 		mergeDigest(peer, digest, isNear, now) {
@@ -131,17 +131,17 @@
 			book.tick(now);
 			admission.tick(now);
 		},
-		forget(target) {
+		removeTarget(target) {
 			transport.drop(target);
 			board.prune(id => directory.get(id) !== undefined);
 			book.prune();
 		},
-		renew(target) {
+		resetTarget(target) {
 			transport.drop(target);
-			book.renew(target);
-			crashes.noteRenewal(target);
+			book.resetTarget(target);
+			crashes.noteRestart(target);
 		},
-		reopen(unit) {
+		noteGroupFormed(unit) {
 			gate.open(unit, clock());
 		},
 		close() {
--- a/src/forward/refusal.ts
+++ b/src/forward/refusal.ts
@@ -3,5 +3,5 @@
 	readonly detail: string;
 	readonly spread: number;
 	/** Where no target may be sent anything, how long until the first may be, milliseconds. */
-	readonly shutMs?: number;
+	readonly unavailableMs?: number;
 };
--- a/src/forward/relay-held-answer.ts
+++ b/src/forward/relay-buffered-answer.ts
@@ -5,9 +5,9 @@
 const none: ReadonlySet<string> = new Set();
 
 /** Writes a target's whole answer to the caller, unchanged but for the headers of a single connection. */
-export function relayHeldAnswer(answer: Answer, exchange: ForwardExchange): void {
+export function relayBufferedAnswer(answer: Answer, exchange: ForwardExchange): void {
 	const {response} = exchange;
-	response.shouldKeepAlive &&= exchange.isAllowedToKeepOpen();
+	response.shouldKeepAlive &&= exchange.mayKeepAlive();
 	const headers = dropHopHeaders(answer.headers, none);
 	response.writeHead(answer.status, [...headers, 'content-length', String(answer.body.length)]);
 	response.end(answer.body);
--- a/src/forward/request-marks.ts
+++ b/src/forward/request-metadata.ts
@@ -1,5 +1,5 @@
 /** What a caller says of its request beside method, path and body. */
-export type RequestMarks = {
+export type RequestMetadata = {
 	/** Id of the caller's attempt; undefined when there is none. */
 	readonly id: string | undefined;
 	/** How long the caller will wait, milliseconds; undefined when it does not say. */
--- a/src/forward/return-schedule.ts
+++ b/src/forward/retry-schedule.ts
@@ -11,7 +11,7 @@
  * refused again but for the first; so each is told the time of a place of its own. For whom none comes in time may still find one
  * that another does not use, and comes at any moment until the end of its time.
  */
-export class ReturnSchedule {
+export class RetrySchedule {
 	/** When the next place is that no caller of a service has been told, milliseconds. */
 	private readonly next = new Map<string, number>();
 
@@ -21,7 +21,7 @@
 	 * @param chance - a number from 0 to 1
 	 * @returns milliseconds from now
 	 */
-	book(service: string, {earliestMs, latestMs, intervalMs}: Wish, chance: number, now: number): number {
+	reserve(service: string, {earliestMs, latestMs, intervalMs}: Wish, chance: number, now: number): number {
 		const at = Math.max(now + earliestMs, this.next.get(service) ?? 0);
 		if (at > now + latestMs || !Number.isFinite(intervalMs)) {
 			return earliestMs + (chance * Math.max(0, latestMs - earliestMs));
--- a/src/forward/send-outcome.ts
+++ b/src/forward/send-outcome.ts
@@ -17,7 +17,7 @@
 	readonly kind: 'lost';
 	readonly reason: string;
 	/** Whether the other side closed or reset the connection, as a target that crashes does. */
-	readonly isCut?: boolean;
+	readonly isConnectionClosed?: boolean;
 	/** For how long the target had been answering, milliseconds; absent where it had not begun. */
 	readonly answeringMs?: number;
 };
--- a/src/forward/send-progress.ts
+++ b/src/forward/send-progress.ts
@@ -11,11 +11,11 @@
 	/** Those of them that met another target than the one meant, which is gone: no target has had the request. */
 	misdirected: number;
 	/** All sends, those that reached no target included. */
-	tries: number;
+	attempts: number;
 	/** Whether every send so far is known not to have run. */
-	isUnrun: boolean;
+	isNotRun: boolean;
 	/** Whether the budget of repeats has been charged with the next send. */
-	isPaid: boolean;
+	isRetryCharged: boolean;
 	/** Why the last send brought no answer. */
 	reason: string;
 	/** A failure that a target answered, for the caller if no other answer comes. */
--- a/src/forward/limit-send.ts
+++ b/src/forward/send-with-timeouts.ts
@@ -3,13 +3,13 @@
 import {runAt} from './run-at.js';
 import {type SendOutcome} from './send-outcome.js';
 import {type SendProgress} from './send-progress.js';
-import {type StallWatch} from './stall-watch.js';
+import {type StallDetector} from './stall-detector.js';
 
 type Limits = {
 	readonly exchange: ForwardExchange;
 	readonly target: Target;
 	readonly progress: SendProgress;
-	readonly stalls: StallWatch;
+	readonly stalls: StallDetector;
 	/** The present, milliseconds; the request's deadline is by it. */
 	readonly clock: () => number;
 	/** Sends the request, until the signal ends it. */
@@ -20,7 +20,7 @@
 const patienceFactor = 2.5;
 
 /** Runs one send, and ends it at the deadline, when the caller leaves, when it helps no more, or when its target is silent. */
-export async function limitSend({exchange, target, progress, stalls, clock, send}: Limits): Promise<SendOutcome> {
+export async function sendWithTimeouts({exchange, target, progress, stalls, clock, send}: Limits): Promise<SendOutcome> {
 	const route = exchange.route!;
 	const abort = new AbortController();
 	const cancels = [runAt(exchange.deadline, clock, () => {
@@ -36,20 +36,20 @@
 
 	const leave = (): void => {
 		// What must not run twice is left to end by itself: nobody could tell how far it came.
-		if (exchange.isRepeatable || route.kind === 'stream') {
+		if (exchange.isRetryable || route.kind === 'stream') {
 			abort.abort('the caller left');
 		}
 	};
 
-	exchange.departure.signal.addEventListener('abort', leave, {once: true});
-	const watch = exchange.isRepeatable ? stalls.watch({target, abort, isHeldUp: () => exchange.response.writableNeedDrain}) : undefined;
+	exchange.disconnection.signal.addEventListener('abort', leave, {once: true});
+	const watch = exchange.isRetryable ? stalls.watch({target, abort, isWaitingForCaller: () => exchange.response.writableNeedDrain}) : undefined;
 	try {
 		return await send(abort.signal, () => {
-			watch?.progress();
+			watch?.noteProgress();
 		});
 	} finally {
 		watch?.stop();
-		exchange.departure.signal.removeEventListener('abort', leave);
+		exchange.disconnection.signal.removeEventListener('abort', leave);
 		for (const cancel of cancels) {
 			cancel();
 		}
--- a/src/forward/shut-target.ts
+++ /dev/null
@@ -1,2 +0,0 @@
-/** A target that may not be sent anything now, why, and for how long at least, milliseconds. */
-export type ShutTarget = {readonly id: string; readonly cause: string; readonly waitMs: number};
--- a/src/forward/stall-watch.ts
+++ b/src/forward/stall-detector.ts
@@ -19,14 +19,14 @@
 	readonly target: Target;
 	readonly abort: AbortController;
 	/** Whether its caller has yet to read what was sent, so that nothing is asked of the target meanwhile. */
-	readonly isHeldUp: () => boolean;
+	readonly isWaitingForCaller: () => boolean;
 	/** When the target sent something for it; undefined before the first. */
 	progressAt: number | undefined;
 };
 
 type Watch = {
 	/** Notes that the target sent something for the request. */
-	progress(): void;
+	noteProgress(): void;
 	stop(): void;
 };
 
@@ -47,7 +47,7 @@
 const leastStreams = 3;
 
 /** Ends requests at targets, or on connections, that have gone silent alone, so that they can go on elsewhere. */
-export class StallWatch {
+export class StallDetector {
 	/** Since when each service has been seen at work without a break. */
 	private readonly activeSince = new Map<string, number>();
 	private readonly watched = new Set<Watched>();
@@ -57,11 +57,11 @@
 	constructor(private readonly options: WatchOptions) {}
 
 	/** Watches a request at a target until it is stopped. */
-	watch(request: Pick<Watched, 'target' | 'abort' | 'isHeldUp'>): Watch {
+	watch(request: Pick<Watched, 'target' | 'abort' | 'isWaitingForCaller'>): Watch {
 		const watched: Watched = {...request, progressAt: undefined};
 		this.watched.add(watched);
 		return {
-			progress: () => {
+			noteProgress: () => {
 				this.noteProgress(watched);
 			},
 			stop: () => {
@@ -76,7 +76,7 @@
 		this.noteActive(now);
 		this.tellStopped(now);
 		for (const watched of this.watched) {
-			if (watched.isHeldUp()) {
+			if (watched.isWaitingForCaller()) {
 				watched.progressAt &&= now;
 			} else if (this.isTargetSilent(watched.target, now)) {
 				this.endAtTarget(watched, now);
@@ -120,7 +120,7 @@
 	/* What is sent to a stopped service waits until it is refused, or its caller leaves. */
 	private tellStopped(now: number): void {
 		const units = new Map<string, number[]>();
-		for (const {target, progressAt, isHeldUp} of this.watched) {
+		for (const {target, progressAt, isWaitingForCaller: isHeldUp} of this.watched) {
 			if (progressAt !== undefined && !isHeldUp()) {
 				const unit = getUnit(target);
 				units.set(unit, [...units.get(unit) ?? [], progressAt]);
--- a/src/forward/start-forward-entry.ts
+++ b/src/forward/start-forward-entry.ts
@@ -9,15 +9,15 @@
 import {ForwardMetrics} from '../metrics/forward-metrics.js';
 import {makeViewGauges} from '../metrics/make-view-gauges.js';
 import {startAdminServer} from '../metrics/start-admin-server.js';
-import {describeEnd} from './describe-end.js';
+import {describeRequest} from './describe-request.js';
 import {makeForwardFilter} from './filters/make-forward-filter.js';
 import {makeKeyFilter} from './filters/make-key-filter.js';
 import {makeReadFilter} from './filters/make-read-filter.js';
 import {makeRouteFilter} from './filters/make-route-filter.js';
 import {ForwardServer} from './forward-server.js';
-import {type ForwardSurroundings} from './forward-surroundings.js';
+import {type ForwardDependencies} from './forward-dependencies.js';
 import {makeEntryState} from './make-entry-state.js';
-import {makeForwardPath} from './make-forward-path.js';
+import {makeForwardPipeline} from './make-forward-pipeline.js';
 import {makeHttpTransport} from './make-http-transport.js';
 
 type RunningForwardEntry = {
@@ -42,22 +42,22 @@
 const graceMarginMs = 400;
 
 /** Starts an entry that forwards straight to registered targets: its parts, what they tell each other, its servers. */
-export async function startForwardEntry(settings: ForwardEntrySettings, surroundings: ForwardSurroundings): Promise<RunningForwardEntry> {
+export async function startForwardEntry(settings: ForwardEntrySettings, surroundings: ForwardDependencies): Promise<RunningForwardEntry> {
 	const {dialect, openEngine, clock, random} = surroundings;
 	const {id, availabilityZone, callers: {host: address, port: httpPort}} = settings;
 	const linkAddress = `${address}:${settings.linkPort}`;
 	const metrics = new ForwardMetrics();
-	const path = makeForwardPath({
+	const path = makeForwardPipeline({
 		...settings,
 		clock,
 		random,
 		address: linkAddress,
 		listPeers: now => mesh.listHeard(now),
-		ask: (peer, question) => mesh.send(peer, question),
+		sendToPeer: (peer, question) => mesh.send(peer, question),
 		openTransport: listener => makeHttpTransport({dialect, clock}, listener),
 		countRegistered: () => knowledge.countRegistered(),
 		getService: name => fleet.table?.findService(name),
-		onLoad() {
+		onLoadChange() {
 			mesh.reportSoon();
 		},
 		onRefusal(service, isRestAsked) {
@@ -68,7 +68,7 @@
 				mesh.reportSoon();
 			}
 		},
-		onFound() {
+		onCrashFound() {
 			mesh.reportNow();
 		},
 		onSend(service, isRepeat) {
@@ -78,7 +78,7 @@
 			requestLog.info(message);
 		},
 	});
-	const {board, book, dispatcher} = path;
+	const {board, tracker: book, dispatcher} = path;
 	let isStopping = false;
 
 	const knowledge = makeEntryState({
@@ -102,23 +102,23 @@
 		},
 		onMessage(message, send) {
 			if (message.type === 'permit-wanted') {
-				send(book.permits.answer(message));
+				send(book.permits.handleRequest(message));
 			} else if (message.type === 'permit') {
-				book.permits.receive(message);
+				book.permits.handleAnswer(message);
 			}
 		},
 		onTable({configuration: {version, limits}}) {
 			metrics.configurationVersion.set(version);
-			server.limit(limits.headerTimeoutMs, limits.idleTimeoutMs);
+			server.setTimeouts(limits.headerTimeoutMs, limits.idleTimeoutMs);
 		},
 		onLeave(target) {
-			path.forget(target);
+			path.removeTarget(target);
 		},
-		onRenew(target) {
-			path.renew(target);
+		onRestart(target) {
+			path.resetTarget(target);
 		},
-		onFormed(unit) {
-			path.reopen(unit);
+		onGroupFormed(unit) {
+			path.noteGroupFormed(unit);
 		},
 		log: {
 			view(message) {
@@ -149,7 +149,7 @@
 		onEnd(exchange, problem) {
 			const now = clock();
 			metrics.noteEnd(exchange, problem, now);
-			requestLog.info(describeEnd(exchange, problem, {era: view.asOf.era, viewAgeMs: view.getAge(now), now}));
+			requestLog.info(describeRequest(exchange, problem, {era: view.asOf.era, viewAgeMs: view.getAge(now), now}));
 		},
 		log(message) {
 			requestLog.error(message);
--- a/src/forward/stream-admission.ts
+++ b/src/forward/stream-admission.ts
@@ -9,9 +9,9 @@
 type AdmissionOptions = {
 	readonly board: LoadBoard;
 	/** Targets of a service that may be sent something now. */
-	readonly listOpen: (service: string, now: number) => readonly Target[];
+	readonly listAvailable: (service: string, now: number) => readonly Target[];
 	/** Whether a target takes requests, as far as known: who refuses has no room to reckon with. */
-	readonly isSound: (target: Target, now: number) => boolean;
+	readonly isHealthy: (target: Target, now: number) => boolean;
 	/** What operators have configured for a service; undefined while it is not known. */
 	readonly getService: (name: string) => Service | undefined;
 };
@@ -56,7 +56,7 @@
 	tick(now: number): void {
 		for (const [unit, {count, sumMs, service}] of this.gaps) {
 			const pace = this.options.getService(service)?.pace;
-			const targets = this.listSound(groupByUnit(this.options.listOpen(service, now)).get(unit) ?? [], now);
+			const targets = this.listSound(groupByUnit(this.options.listAvailable(service, now)).get(unit) ?? [], now);
 			if (pace && targets.length > 0) {
 				const load = this.countInFlight(targets, now) / targets.length;
 				this.getForecast(unit).observe({gapMs: sumMs / count, load, pace}, now);
@@ -72,7 +72,7 @@
 	 * @param targets - targets of one service
 	 * @param leftMs - time that the caller has left, milliseconds; who has just asked has all of the route's
 	 */
-	findRoom(targets: readonly Target[], {kind, targetGapMs, timeoutMs, targetLatencyMs}: Route, leftMs: number, now: number): Room {
+	findTargetsWithRoom(targets: readonly Target[], {kind, targetGapMs, timeoutMs, targetLatencyMs}: Route, leftMs: number, now: number): Room {
 		const pace = targets.length === 0 ? undefined : this.options.getService(targets[0].service)?.pace;
 		if (kind !== 'stream' || targetGapMs === undefined || !pace) {
 			return {targets, refusal: undefined};
@@ -89,7 +89,7 @@
 			if (admission.kind === 'admitted') {
 				open.push(...members);
 			} else {
-				refusals.push(`${unit}: ${inFlight} streams under way, at most ${admission.most} go on without pauses over ${targetGapMs} ms (mean now ${Math.round(admission.pauseMs)} ms)`);
+				refusals.push(`${unit}: ${inFlight} streams under way, at most ${admission.maximumInFlight} go on without pauses over ${targetGapMs} ms (mean now ${Math.round(admission.pauseMs)} ms)`);
 			}
 		}
 
@@ -98,7 +98,7 @@
 
 	/* Passes last as long as the fullest rank's part: ranks that refuse do not share in it, the others have all of it. */
 	private listSound(targets: readonly Target[], now: number): readonly Target[] {
-		const sound = targets.filter(target => this.options.isSound(target, now));
+		const sound = targets.filter(target => this.options.isHealthy(target, now));
 		return sound.length > 0 ? sound : targets;
 	}
 
--- a/src/forward/stream-delivery.ts
+++ b/src/forward/stream-delivery.ts
@@ -16,7 +16,7 @@
 	private head: {readonly status: number; readonly headers: RawHeaders} | undefined;
 
 	constructor(private readonly exchange: ForwardExchange) {
-		this.lastId = exchange.marks.lastEventId;
+		this.lastId = exchange.metadata.lastEventId;
 	}
 
 	/** Whether the caller has the beginning of an answer. */
@@ -77,7 +77,7 @@
 			return;
 		}
 
-		response.shouldKeepAlive &&= this.exchange.isAllowedToKeepOpen();
+		response.shouldKeepAlive &&= this.exchange.mayKeepAlive();
 		response.writeHead(this.head.status, dropHopHeaders(this.head.headers, none));
 	}
 }
--- a/src/forward/target-picker.ts
+++ b/src/forward/target-picker.ts
@@ -5,19 +5,19 @@
 import {type ServiceGate} from '../balance/service-gate.js';
 import {getUnit} from '../fleet/get-unit.js';
 import {type Target} from '../fleet/target.js';
-import {type CrashWatch} from './crash-watch.js';
-import {describeShutTargets} from './describe-shut-targets.js';
+import {type CrashDetector} from './crash-detector.js';
+import {describeUnavailableTargets} from './describe-unavailable-targets.js';
 import {type ForwardExchange} from './forward-exchange.js';
 import {type Refusal} from './refusal.js';
-import {returnSpreads} from './return-spreads.js';
+import {retrySpreads} from './retry-spreads.js';
 import {type SendProgress} from './send-progress.js';
-import {type ShutTarget} from './shut-target.js';
+import {type UnavailableTarget} from './unavailable-target.js';
 import {type StreamAdmission} from './stream-admission.js';
-import {type TargetBook} from './target-book.js';
+import {type TargetTracker} from './target-tracker.js';
 
 type PickerOptions = {
-	readonly book: TargetBook;
-	readonly crashes: CrashWatch;
+	readonly tracker: TargetTracker;
+	readonly crashes: CrashDetector;
 	readonly board: LoadBoard;
 	readonly gate: ServiceGate;
 	readonly budget: RepeatBudget;
@@ -41,14 +41,14 @@
 
 	/** Chooses a target, and takes a permit where it names a limit. */
 	async pick(exchange: ForwardExchange, progress: SendProgress): Promise<Target | Refusal> {
-		const {book, gate, clock} = this.options;
+		const {tracker: book, gate, clock} = this.options;
 		for (let questions = 0; questions < mostQuestions; questions++) {
 			const target = this.choose(exchange, progress, true);
 			if ('detail' in target || await book.permits.take(target)) {
 				return target;
 			}
 
-			exchange.note(`no permit for ${target.id}, which takes ${book.limits.get(target.id)} a second`);
+			exchange.noteDecision(`no permit for ${target.id}, which takes ${book.limits.get(target.id)} a second`);
 			gate.excuse(getUnit(target), clock());
 		}
 
@@ -57,16 +57,16 @@
 
 	/* @param mayAsk - whether targets count for which a permit is to be taken first */
 	private choose(exchange: ForwardExchange, progress: SendProgress, mayAsk: boolean): Target | Refusal {
-		const {board, book, probes, availabilityZone, clock, random} = this.options;
+		const {board, tracker: book, probes, availabilityZone, clock, random} = this.options;
 		const {health, refusals} = book;
 		const now = clock();
-		if (progress.tries >= maximumTries || progress.sent - progress.misdirected >= exchange.route!.maximumAttempts) {
-			return {spread: returnSpreads.overload, detail: progress.reason};
+		if (progress.attempts >= maximumTries || progress.sent - progress.misdirected >= exchange.route!.maximumAttempts) {
+			return {spread: retrySpreads.overload, detail: progress.reason};
 		}
 
 		const blockMs = this.options.crashes.getBlockMs(exchange, now);
 		if (blockMs > 0) {
-			return {spread: 0, shutMs: blockMs, detail: `targets crashed as they ran this request (${exchange.fingerprint}), which is refused for ${Math.round(blockMs)} ms more`};
+			return {spread: 0, unavailableMs: blockMs, detail: `targets crashed as they ran this request (${exchange.fingerprint}), which is refused for ${Math.round(blockMs)} ms more`};
 		}
 
 		const shut = this.findShut(exchange, now);
@@ -76,27 +76,27 @@
 
 		const running = this.listRunning(exchange.service, now);
 		if (!running) {
-			return {spread: returnSpreads.outage, detail: `${progress.reason}; the service's group is down`};
+			return {spread: retrySpreads.outage, detail: `${progress.reason}; the service's group is down`};
 		}
 
 		const {targets, refusal} = progress.delivery.hasBegun
 			? {targets: running, refusal: undefined}
-			: this.options.admission.findRoom(running, exchange.route!, exchange.deadline - now, now);
+			: this.options.admission.findTargetsWithRoom(running, exchange.route!, exchange.deadline - now, now);
 		if (refusal !== undefined) {
-			return {spread: returnSpreads.overload, detail: refusal};
+			return {spread: retrySpreads.overload, detail: refusal};
 		}
 
 		const candidates = mayAsk ? targets : targets.filter(({id}) => book.limits.get(id) === undefined);
-		const left = mayAsk ? [] : book.listShut(exchange.service, now);
+		const left = mayAsk ? [] : book.listUnavailable(exchange.service, now);
 		if (candidates.length === 0 && left.length > 0) {
 			return this.refuseShut(left);
 		}
 
-		if (progress.sent > 0 && !progress.isPaid && !this.options.budget.spend(exchange.service, now)) {
-			return {spread: returnSpreads.overload, detail: `${progress.reason}; the budget of repeats is spent`};
+		if (progress.sent > 0 && !progress.isRetryCharged && !this.options.budget.spend(exchange.service, now)) {
+			return {spread: retrySpreads.overload, detail: `${progress.reason}; the budget of repeats is spent`};
 		}
 
-		progress.isPaid = progress.sent > 0;
+		progress.isRetryCharged = progress.sent > 0;
 		const choice = chooseReplica({
 			targets: candidates,
 			excluded: progress.excluded,
@@ -118,30 +118,30 @@
 			}
 
 			case 'full': {
-				return {spread: returnSpreads.overload, detail: 'every target is full'};
+				return {spread: retrySpreads.overload, detail: 'every target is full'};
 			}
 
 			default: {
-				return {spread: returnSpreads.outage, detail: progress.reason};
+				return {spread: retrySpreads.outage, detail: progress.reason};
 			}
 		}
 	}
 
 	/* Leaves out who rests, or has had what it takes, and says so; a refusal when that is everybody. */
 	private findShut(exchange: ForwardExchange, now: number): Refusal | undefined {
-		const {book} = this.options;
-		const shut = book.listShut(exchange.service, now);
+		const {tracker: book} = this.options;
+		const shut = book.listUnavailable(exchange.service, now);
 		if (shut.length === 0) {
 			return undefined;
 		}
 
-		exchange.note(`left out ${describeShutTargets(shut)}`);
+		exchange.noteDecision(`left out ${describeUnavailableTargets(shut)}`);
 		return shut.length < book.directory.list(exchange.service).length ? undefined : this.refuseShut(shut);
 	}
 
-	private refuseShut(shut: readonly ShutTarget[]): Refusal {
+	private refuseShut(shut: readonly UnavailableTarget[]): Refusal {
 		const shutMs = Math.min(...shut.map(({waitMs}) => waitMs));
-		return {spread: 1, shutMs, detail: `targets ask for rest or take no more for now, for ${Math.round(shutMs)} ms more at least`};
+		return {spread: 1, unavailableMs: shutMs, detail: `targets ask for rest or take no more for now, for ${Math.round(shutMs)} ms more at least`};
 	}
 
 	/*
@@ -149,8 +149,8 @@
 	 * if all have, a request now and then sees whether they run again. Undefined when none may be sent now.
 	 */
 	private listRunning(service: string, now: number): readonly Target[] | undefined {
-		const {book, gate} = this.options;
-		const registered = book.listOpen(service, now);
+		const {tracker: book, gate} = this.options;
+		const registered = book.listAvailable(service, now);
 		const units = [...new Set(registered.map(target => getUnit(target)))];
 		const running = units.filter(unit => !gate.isAvoided(unit, now));
 		if (units.length > 1 && running.length > 0) {
--- a/src/forward/target-sender.ts
+++ b/src/forward/target-sender.ts
@@ -49,7 +49,7 @@
 
 	constructor(private readonly sender: SenderOptions, private readonly options: SendOptions) {
 		this.sentAt = sender.clock();
-		this.connection = sender.pool.take(options.target, options.exchange.isRepeatable ? Number.POSITIVE_INFINITY : onceIdleMs);
+		this.connection = sender.pool.take(options.target, options.exchange.isRetryable ? Number.POSITIVE_INFINITY : onceIdleMs);
 	}
 
 	async run(): Promise<SendOutcome> {
@@ -104,8 +104,8 @@
 	private makeHeaders(): string[] {
 		const {exchange, target, delivery} = this.options;
 		const {dialect, clock} = this.sender;
-		const headers = dropHopHeaders(exchange.incoming.rawHeaders, dialect.ownHeaders);
-		const marks = dialect.markRequest({
+		const headers = dropHopHeaders(exchange.incoming.rawHeaders, dialect.reservedHeaders);
+		const marks = dialect.makeRequestHeaders({
 			targetId: target.id,
 			organisation: exchange.organisation,
 			remainingMs: Math.max(1, Math.floor(exchange.deadline - clock())),
@@ -126,7 +126,7 @@
 		const marks = this.sender.dialect.readAnswer(status, index);
 		this.sender.onHead(target, marks, this.sentAt);
 		// A target that answers twice may refuse an earlier request here: that proves nothing of this one.
-		const isForeign = marks.requestId !== exchange.marks.id && (marks.requestId !== undefined || !marks.isNotRun);
+		const isForeign = marks.requestId !== exchange.metadata.id && (marks.requestId !== undefined || !marks.isNotRun);
 		if (isForeign) {
 			this.fail('the answer belongs to another request');
 			return;
@@ -134,7 +134,7 @@
 
 		if (marks.isNotRun) {
 			this.cause = marks.isMisdirected ? 'gone' : (marks.isGroupDown ? 'group-down' : 'busy');
-			this.retryAfter = marks.retryAfter;
+			this.retryAfter = marks.retryAfterText;
 			this.mode = 'reject';
 			return;
 		}
@@ -227,7 +227,7 @@
 		} else if (this.connection.hasOpened) {
 			const answeringMs = this.answeredAt === undefined ? undefined : this.sender.clock() - this.answeredAt;
 			this.settle({
-				kind: 'lost', reason, isCut, answeringMs,
+				kind: 'lost', reason, isConnectionClosed: isCut, answeringMs,
 			}, false);
 		} else {
 			this.settle({kind: 'not-run', reason: `not sent: ${reason}`, wasSent: false}, false);
--- a/src/forward/target-book.ts
+++ b/src/forward/target-tracker.ts
@@ -6,16 +6,16 @@
 import {TargetDirectory} from '../fleet/target-directory.js';
 import {type Target} from '../fleet/target.js';
 import {type EntryDigest} from '../mesh/entry-digest.js';
-import {type AnswerMarks} from './answer-marks.js';
+import {type AnswerMetadata} from './answer-metadata.js';
 import {LimitPermits} from './limit-permits.js';
-import {type ShutTarget} from './shut-target.js';
+import {type UnavailableTarget} from './unavailable-target.js';
 
 /** First status of answers that bring nothing that was asked for. */
 const leastFailure = 400;
 
 type Head = {
 	readonly target: Target;
-	readonly marks: AnswerMarks;
+	readonly marks: AnswerMetadata;
 	/** When the request was sent that the answer was waited for, milliseconds. */
 	readonly sentAt: number;
 };
@@ -31,7 +31,7 @@
 };
 
 /** What this entry knows of targets, by their answers and its peers' words: whether one may be sent a request now, and if not, when. */
-export class TargetBook {
+export class TargetTracker {
 	readonly directory = new TargetDirectory();
 	readonly health = new TargetHealth();
 	readonly refusals: TargetRefusals;
@@ -47,17 +47,17 @@
 	}
 
 	/** Targets of a service that may be sent something now. */
-	listOpen(service: string, now: number): readonly Target[] {
+	listAvailable(service: string, now: number): readonly Target[] {
 		return this.directory.list(service).filter(({id}) => this.getShut(id, now) === undefined);
 	}
 
 	/** Those of a service that may not be, though they take requests otherwise. */
-	listShut(service: string, now: number): readonly ShutTarget[] {
+	listUnavailable(service: string, now: number): readonly UnavailableTarget[] {
 		return this.directory.list(service).map(({id}) => this.getShut(id, now)).filter(shut => shut !== undefined);
 	}
 
 	/** Requests per second that the targets of a service take together; infinite while one of them names no limit. */
-	getPlacesPerSecond(service: string): number {
+	getTotalRate(service: string): number {
 		return this.directory.list(service).reduce((sum, {id}) => sum + (this.limits.get(id) ?? Number.POSITIVE_INFINITY), 0);
 	}
 
@@ -81,7 +81,7 @@
 	 * serves or refuses, leaves, wants to rest, or takes so many requests a second only. An answer in another target's name says nothing
 	 * of the one that was meant, and one of a life that has ended nothing of the present one.
 	 */
-	noteHead({target, marks, sentAt}: Head, now: number): void {
+	noteAnswerHead({target, marks, sentAt}: Head, now: number): void {
 		const speaker = marks.targetId === undefined || marks.targetId === target.id ? target : this.directory.get(marks.targetId);
 		if (!speaker || this.isOtherLife(speaker)) {
 			return;
@@ -93,10 +93,10 @@
 			this.options.onLeave(speaker, 'it says so in its answers');
 		}
 
-		if (marks.restMs !== undefined && marks.restMs > 0) {
+		if (marks.retryAfterMs !== undefined && marks.retryAfterMs > 0) {
 			const inFlight = this.options.countInFlight(speaker.id);
 			this.rests.begin(speaker, {
-				restMs: marks.restMs, status: marks.status, retryAfter: marks.retryAfter ?? '', inFlight,
+				restMs: marks.retryAfterMs, status: marks.status, retryAfter: marks.retryAfterText ?? '', inFlight,
 			}, now);
 		}
 	}
@@ -152,14 +152,14 @@
 	}
 
 	/** Forgets the former life of a target that has started again. */
-	renew(target: string): void {
+	resetTarget(target: string): void {
 		this.health.forget(target);
 		this.refusals.forget(target);
 		this.rests.forget(target);
 		this.limits.forget(target);
 	}
 
-	private getShut(id: string, now: number): ShutTarget | undefined {
+	private getShut(id: string, now: number): UnavailableTarget | undefined {
 		const restMs = this.rests.getRemaining(id, now);
 		if (restMs > 0) {
 			return {id, cause: 'rests', waitMs: restMs};
@@ -174,7 +174,7 @@
 		return known !== undefined && known.bornAt !== bornAt;
 	}
 
-	private noteServing({id, service}: Target, {status, isNotRun, isGroupDown, isMisdirected, restMs}: AnswerMarks, sentAt: number, now: number): void {
+	private noteServing({id, service}: Target, {status, isNotRun, isGroupDown, isMisdirected, retryAfterMs: restMs}: AnswerMetadata, sentAt: number, now: number): void {
 		if (isNotRun && !isGroupDown && !isMisdirected) {
 			this.refusals.noteRefusal(id, now);
 			this.options.onRefusal(service, restMs !== undefined);
--- a/src/forward/transport-listener.ts
+++ b/src/forward/transport-listener.ts
@@ -1,5 +1,5 @@
 import {type Target} from '../fleet/target.js';
-import {type AnswerMarks} from './answer-marks.js';
+import {type AnswerMetadata} from './answer-metadata.js';
 
 /** What is told of what targets send, beside the outcome of each send. */
 export type TransportListener = {
@@ -8,7 +8,7 @@
 	 *
 	 * @param sentAt - when the request was sent that the answer was waited for, milliseconds
 	 */
-	readonly onHead: (target: Target, marks: AnswerMarks, sentAt: number) => void;
+	readonly onHead: (target: Target, marks: AnswerMetadata, sentAt: number) => void;
 	/** Told of each piece of an answer that a target sends. */
 	readonly onProgress: (target: Target) => void;
 	/** Told of the time between two events of a stream, milliseconds. */
--- a/src/model/play-load.ts
+++ b/src/model/play-load.ts
@@ -1,7 +1,7 @@
 import {uniformFloat64} from 'pure-rand/distribution/uniformFloat64';
 import {xoroshiro128plus} from 'pure-rand/generator/xoroshiro128plus';
 import {PauseForecast} from '../decisions/pause-forecast.js';
-import {chooseReturnTime} from '../forward/choose-return-time.js';
+import {chooseRetryDelay} from '../forward/choose-retry-delay.js';
 import {type LoadResult} from './load-result.js';
 import {type LoadScenario} from './load-scenario.js';
 import {LockStepGroup} from './lock-step-group.js';
@@ -46,7 +46,7 @@
 			counts.refused++;
 		} else {
 			const leftMs = scenario.deadlineMs - (at - stream.askedAt);
-			insert(arrivals, {at: at + chooseReturnTime(leftMs, returnSpread * uniformFloat64(generator), 0), stream: {...stream, isReturn: true}});
+			insert(arrivals, {at: at + chooseRetryDelay(leftMs, returnSpread * uniformFloat64(generator), 0), stream: {...stream, isReturn: true}});
 		}
 	};
 
--- a/src/model/policies.ts
+++ b/src/model/policies.ts
@@ -27,7 +27,7 @@
 	'no room kept': situation => admit(situation, false),
 	/** By the usual pace alone, spikes not reckoned with. */
 	'usual pace': ({forecast, scenario: {pace, targetGapMs, targets}, inFlight}) =>
-		inFlight < targets * (forecast.getMostLoad(usualShare * targetGapMs, pace) ?? Number.POSITIVE_INFINITY),
+		inFlight < targets * (forecast.getMaximumLoad(usualShare * targetGapMs, pace) ?? Number.POSITIVE_INFINITY),
 	/** Everybody, as far as targets have slots. */
 	none: () => true,
 };
--- a/src/routing/circuit.ts
+++ b/src/routing/circuit-breaker.ts
@@ -32,7 +32,7 @@
 }, (): CircuitContext => ({failures: 0, openUntil: 0, openings: 0}));
 
 /** Keeps requests from a target that fails: closed, open for a growing time, then one probe. */
-export class Circuit {
+export class CircuitBreaker {
 	private readonly service = interpret(machine, () => undefined);
 
 	/** Whether the target is kept out at `now`. */
@@ -47,17 +47,17 @@
 	}
 
 	/** Notes that a request is sent; after an opening it is the probe. */
-	send(): void {
+	noteSend(): void {
 		this.service.send('probe');
 	}
 
 	/** Notes a failure that the target or its link is to blame for. */
-	fail(now: number): void {
+	noteFailure(now: number): void {
 		this.service.send({type: 'fail', now} as never);
 	}
 
 	/** Notes an answer. */
-	succeed(): void {
+	noteSuccess(): void {
 		this.service.send('succeed');
 	}
 }
--- a/src/target/request-controller.ts
+++ b/src/target/request-controller.ts
@@ -77,7 +77,7 @@
 
 	/** Refuses what waited past its deadline and ends what nobody reads any more. */
 	tick(now: number): void {
-		for (const {id} of this.options.queue.dropLate(now)) {
+		for (const {id} of this.options.queue.removeExpired(now)) {
 			this.refuseWaiting(id, 'late', now);
 		}
 
--- a/stand-ins/forward/plain-dialect.ts
+++ b/stand-ins/forward/plain-dialect.ts
@@ -17,13 +17,13 @@
 		deadlineMs: toNumber(headers[deadline]),
 		lastEventId: toNumber(headers[lastEvent]),
 	}),
-	markRequest: marks => ({
+	makeRequestHeaders: marks => ({
 		[target]: marks.targetId,
 		[deadline]: String(marks.remainingMs),
 		...(marks.organisation !== undefined && {[organisation]: marks.organisation}),
 		...(marks.lastEventId !== undefined && {[lastEvent]: String(marks.lastEventId)}),
 	}),
-	ownHeaders: new Set(['authorization', deadline, target, organisation, lastEvent]),
+	reservedHeaders: new Set(['authorization', deadline, target, organisation, lastEvent]),
 	readAnswer: (status, headers) => ({
 		status,
 		requestId: headers.get(requestId),
@@ -33,8 +33,8 @@
 		isMisdirected: status === 421,
 		isSigned: headers.has('x-signed'),
 		isLeaving: headers.has('x-leaving'),
-		restMs: status === 503 || status === 429 ? readRetryAfter(headers) : undefined,
+		retryAfterMs: status === 503 || status === 429 ? readRetryAfter(headers) : undefined,
 		limit: headers.has('x-limit') ? {perSecond: readRate(headers.get('x-limit')!)} : undefined,
-		retryAfter: headers.get('retry-after'),
+		retryAfterText: headers.get('retry-after'),
 	}),
 };
