--- a/features/forward.feature
+++ b/features/forward.feature
@@ -1,11 +1,11 @@
-Feature: An entry forwards straight to registered targets
+Feature: An entry forwards requests directly to registered targets
 
   Scenario: A request reaches a target unchanged, without the caller's key
     Given an entry before 2 targets
     When a caller posts "fifty tons" to "/release/7?yard=2"
-    Then the caller gets the whole answer to that request
+    Then the caller gets the complete answer to that request
     And one target has run "POST /release/7?yard=2" with "fifty tons"
-    And the target was told the organisation "barre" and no key
+    And the target received the organisation "barre" and no key
 
   Scenario Outline: What the configuration does not allow is refused and does not run: <what>
     Given an entry before 1 target
@@ -21,18 +21,18 @@
       | headers too large    | 431    |
       | two lengths          | 400    |
 
-  Scenario: A caller that is too slow with its headers is told so, and its connection ends
+  Scenario: A caller that sends its headers too slowly gets an error, and its connection is closed
     Given an entry before 1 target
-    And callers may take 200 ms for their headers
-    When a caller sends half of a request's headers and no more
+    And the header timeout is 200 ms
+    When a caller sends half of a request's headers and then nothing
     Then the caller gets status 408
     And no target has run anything
 
-  Scenario Outline: An idempotent request goes elsewhere when a target's answer is <manner>
+  Scenario Outline: An idempotent request is retried at another target when a target's answer is <manner>
     Given an entry before 2 targets
     And the next target answers "<manner>"
     When a caller gets "/read/1"
-    Then the caller gets the whole answer to that request
+    Then the caller gets the complete answer to that request
 
     Examples:
       | manner         |
@@ -44,9 +44,9 @@
       | unframed-reset |
       | reset          |
 
-  Scenario: An entry that has heard no other takes only its part of the budget of repeats
+  Scenario: An entry without live peers uses only its share of the retry budget
     Given an entry before 2 targets
-    And 6 other entries are registered that it cannot reach
+    And 6 unreachable entries are registered as well
     And all targets fail
     When a caller gets 40 requests one after another
     Then targets have run 44 requests
@@ -68,95 +68,95 @@
       | late-refusal   | 502    | unknown | 1    |
       | unsigned       | 502    | unknown | 1    |
 
-  Scenario: An answer without a length that ends with its connection is whole
+  Scenario: An answer without a length that ends with its connection is complete
     Given an entry before 1 target
     And the next target answers "unframed"
     When a caller posts "a block" to "/release/7"
-    Then the caller gets the whole answer to that request
+    Then the caller gets the complete answer to that request
 
-  Scenario: A second answer on a connection reaches nobody
+  Scenario: A second answer on a connection is discarded
     Given an entry before 1 target
-    And the next 20 answers are followed by another
+    And each of the next 20 answers is followed by a second one
     When a caller posts 20 requests one after another
     Then each answer that the caller gets is that of its own request
     And no request has run twice
 
-  Scenario: A request that runs at most once takes no connection that its target may have dropped
+  Scenario: A request that runs at most once is not sent on a connection that its target may have closed
     Given an entry before 1 target
     And the next target answers "forget"
     When a caller posts 1 requests one after another
     And 1000 ms pass
     And a caller posts "a block" to "/release/7"
-    Then the caller gets the whole answer to that request
+    Then the caller gets the complete answer to that request
 
-  Scenario: A stream that breaks within an event goes on at another target
+  Scenario: A stream that is interrupted within an event resumes at another target
     Given an entry before 2 targets
     And the next target answers "cut"
     When a caller gets "/stream/1"
-    Then the caller gets events 1 to 6, each once and whole
+    Then the caller gets events 1 to 6, each once and complete
 
-  Scenario: A stream that nobody can go on with is visibly broken
+  Scenario: A stream that no target can resume is visibly broken
     Given an entry before 1 target
     And the next target answers "cut"
     When a caller gets "/stream/1"
     Then the answer is visibly broken after event 3
 
-  Scenario: A caller that leaves frees its target
+  Scenario: When a caller disconnects, its request is aborted at the target
     Given an entry before 1 target
     And the next target answers "silent"
-    When a caller leaves while it waits for "/stream/1"
-    Then the target sees that request cut off
+    When a caller disconnects while it waits for "/stream/1"
+    Then the target sees that request aborted
 
-  Scenario: A route's time ends with an answer
+  Scenario: A request is answered when its route's timeout has passed
     Given an entry before 1 target
     And the next target answers "silent"
     When a caller posts "a block" to "/short/1"
     Then the caller gets status 504 with outcome "unknown"
 
-  Scenario: A leaving target gets nothing new
+  Scenario: A leaving target gets no new requests
     Given an entry before 2 targets
-    When target 1 says that it is leaving
+    When target 1 announces that it is leaving
     And a caller posts 10 requests one after another
     Then target 1 has run nothing
 
-  Scenario: A configuration is taken over, and an older one is not
+  Scenario: A newer configuration is applied, and an older one is not
     Given an entry before 1 target
-    When the route "/release/" is taken away
+    When the route "/release/" is removed
     Then a caller soon gets status 404 for "/release/7"
-    When the store names the first configuration again
+    When the store holds the first configuration again
     Then a caller still gets status 404 for "/release/7"
 
-  Scenario: A configuration that cannot be used changes nothing
+  Scenario: An invalid configuration changes nothing
     Given an entry before 1 target
-    When the store holds a configuration that cannot be used
+    When the store holds an invalid configuration
     And a caller posts "a block" to "/release/7"
-    Then the caller gets the whole answer to that request
+    Then the caller gets the complete answer to that request
 
-  Scenario: An entry that the store turns away takes a peer's word
+  Scenario: An entry that gets no answer from the store gets changes from a peer
     Given 2 entries before 1 target that know each other
     When the store stops answering "entry-1"
-    And the route "/release/" is taken away
+    And the route "/release/" is removed
     Then a caller soon gets status 404 for "/release/7"
 
-  Scenario: An entry that starts while the store is down learns all from a peer
+  Scenario: An entry that starts while the store is down gets its state from a peer
     Given an entry before 1 target
     When the store stops answering "entry-2"
     And "entry-2" starts
     Then "entry-2" is soon ready
 
-  Scenario: Changes that the store has forgotten are not missed
+  Scenario: Changes that the store has already compacted are not missed
     Given an entry before 1 target
-    When the route "/release/" is taken away and the store forgets its history
+    When the route "/release/" is removed and the store compacts its history
     Then a caller soon gets status 404 for "/release/7"
 
-  Scenario: Registrations that lapsed while the store was away may come back, and those that do not are gone
+  Scenario: Targets whose registrations expired during an outage of the store are used until a deadline to register again
     Given a directory with targets 1 and 2
     When the store is back without their registrations
     Then both targets are used for 1699 ms more
     When target 2 has registered again after 1000 ms
     Then after 1700 ms only target 2 is used
 
-  Scenario: A target that leaves just as the store comes back gets nothing new two seconds later
+  Scenario: A target that leaves just as the store is available again gets no new requests two seconds later
     Given a directory with targets 1 and 2
     When the store is back without their registrations
     And the directory is looked at each 100 ms
@@ -169,7 +169,7 @@
     When target 3 is found to be gone
     Then only targets 1 and 2 are used
 
-  Scenario Outline: A target that starts again under its id is a new one, its registration of before is not: born <before>, <now>
+  Scenario Outline: A target that restarts under its id is used again, an outdated registration is not: born <before>, <now>
     Given a target that was born at <before> and is known to be gone
     When its registration says that it was born at <now>, port 9
     And a late answer tells again that its former life is gone
@@ -181,7 +181,7 @@
       | 1000   | 1000 | not used                                                         |
       | 2000   | 1000 | not used                                                         |
 
-  Scenario: Entries learn groups from what their planners write, and leave out what cannot be read
+  Scenario: Entries read groups from the listings that planners write, and ignore invalid ones
     Given an index of groups
     When the planner of "g1" lists "10.0.0.1:1" and "10.0.0.2:1" in epoch 1, beside one that cannot be read
     Then "10.0.0.2:1" is in "g1" and "10.0.0.3:1" in none
@@ -189,28 +189,28 @@
     Then "10.0.0.3:1" is in "g1" and "10.0.0.2:1" in none
     And "g1" is known to have been formed anew
 
-  Scenario: A registration that names no configured service takes no address away
+  Scenario: A registration of a service that is not configured does not replace the target at its address
     Given an entry before 1 target
     When a registration of the service "other" appears at the target's address
     And a caller posts "a block" to "/release/7"
-    Then the caller gets the whole answer to that request
+    Then the caller gets the complete answer to that request
 
-  Scenario: A request that runs at most once is sent on after it has met targets that are gone
+  Scenario: A request that runs at most once is sent to another target after it reached ones that are gone
     Given an entry before 1 target
     And 3 targets that are gone are still registered at its address
     When a caller posts "a block" to "/release/7"
-    Then the caller gets the whole answer to that request
+    Then the caller gets the complete answer to that request
     And targets have run 1 requests
 
-  Scenario: A planned stop cuts nothing off
+  Scenario: A planned stop completes the open requests
     Given an entry before 1 target
     When the entry is told to stop while a caller waits for "/release/9"
-    Then the entry is not ready at once
-    And the caller gets the whole answer to that request
+    Then the entry is immediately not ready
+    And the caller gets the complete answer to that request
     And the entry has stopped
 
-  Scenario: A connection that an answer had promised to keep ends with that answer after a stop
+  Scenario: A keep-alive connection is closed after its answer when the entry stops
     Given an entry before 1 target
-    When the entry is told to stop within a stream on a kept connection
-    Then the caller gets the whole stream, and then the end of the connection
+    When the entry is told to stop during a stream on a keep-alive connection
+    Then the caller gets the complete stream, and then the connection is closed
     And the entry has stopped
--- a/features/stall.feature
+++ b/features/stall.feature
@@ -1,30 +1,30 @@
-Feature: What has gone silent is left, and nothing that is only slow
+Feature: Requests to stalled targets and connections are aborted, those to slow ones are not
 
-  Scenario: One connection to a target goes silent while the target goes on with others
+  Scenario: One connection to a target stalls while the target makes progress on others
     Given two streams at one target, both with their first event
     When one gets an event each 50 ms and the other none, for 2000 ms
-    Then only the silent one is ended, and idle connections to that target are dropped
+    Then only the silent one is aborted, and idle connections to that target are closed
 
-  Scenario: A stream that its caller does not read is not silent
+  Scenario: A stream that its caller does not read is not stalled
     Given two streams at one target, both with their first event
     And the caller of the second does not read
     When one gets an event each 50 ms and the other none, for 2000 ms
-    Then neither is ended
+    Then neither is aborted
 
-  Scenario: A stream that waits for its first event is not silent
+  Scenario: A stream that waits for its first event is not stalled
     Given two streams at one target, one with its first event
     When one gets an event each 50 ms and the other none, for 2000 ms
-    Then neither is ended
+    Then neither is aborted
 
-  Scenario: A target that stops with its whole service is not silent
+  Scenario: A target that stops together with its whole service is not stalled
     Given two streams at one target, both with their first event
     When neither gets an event for 2000 ms
-    Then neither is ended
+    Then neither is aborted
 
-  Scenario Outline: A service is known to have stopped when none of its streams goes on: <streams> silent for <ms> ms
+  Scenario Outline: A service is considered stopped when none of its streams makes progress: <streams> silent for <ms> ms
     Given <streams> streams at one target, all with their first event
     When none gets an event for <ms> ms
-    Then the service <known> known to have stopped
+    Then the service <known> considered stopped
 
     Examples:
       | streams | ms  | known |
@@ -32,12 +32,12 @@
       | 3       | 450 | isn't |
       | 2       | 650 | isn't |
 
-  Scenario: A service that has become slow is not taken for stopped again and again
+  Scenario: A service that has become slow is not considered stopped repeatedly
     Given 3 streams at one target, all with their first event
     When each gets an event each 600 ms, 20 times
-    Then the service is taken for stopped at most 5 times
+    Then the service is considered stopped at most 5 times
 
-  Scenario Outline: While one of two groups has stopped, the other takes its requests: stopped <ms> ms ago
+  Scenario Outline: While one of two groups has stopped, the other gets its requests: stopped <ms> ms ago
     Given a service of two groups, the first of which has stopped <ms> ms ago
     When a caller asks for the service
     Then its request is sent to a target of the second group first
@@ -47,10 +47,10 @@
       | 100  |
       | 1900 |
 
-  Scenario: A group that has been formed anew takes requests at once
+  Scenario: A group that has been formed again gets requests at once
     Given a service of two groups, the first of which has stopped 100 ms ago
     And the second has stopped as well
-    And the first has been formed anew
+    And the first has been formed again
     When a caller asks for the service
     Then its request is sent to a target of the first group first
 
@@ -58,24 +58,24 @@
     Given a service of two groups, the first of which has stopped 100 ms ago
     And the second has stopped as well
     When a caller asks for the service
-    Then it is told at once that its request did not run, and when to come back
+    Then it is told at once that its request did not run, and when to retry
     And its request is sent to no target
 
-  Scenario: Nothing is sent for a caller that has left, not even to see whether the service runs again
+  Scenario: No request of a disconnected caller is sent, not even as a probe of a stopped service
     Given a service that has been down for 5000 ms
-    When a caller that has come back leaves before its request is sent
+    When a caller that retries disconnects before its request is sent
     Then its request is sent to no target
 
-  Scenario: A caller that comes back into an outage is refused at once, however long that has lasted
+  Scenario: A caller that retries during an outage is refused at once, however long the outage has lasted
     Given a service that has been down for 5000 ms
-    When one request has been let through
-    And a caller that has come back asks
+    When one request has been admitted as a probe
+    And a caller retries
     Then its request is sent to no target
-    And it is told at once that its request did not run, and when to come back
+    And it is told at once that its request did not run, and when to retry
 
-  Scenario: A request that was let through to a stopped service and met a target that is gone leaves its place to the next
+  Scenario: A probe of a stopped service that reached a target that is gone is replaced by the next request
     Given a service that has been down for 5000 ms
-    When one request has been let through
-    Then the next isn't let through
-    When the first has met a target that is gone
-    Then the next is let through
+    When one request has been admitted as a probe
+    Then the next isn't admitted
+    When the first has reached a target that is gone
+    Then the next is admitted
--- a/features/steps/forward-steps.ts
+++ b/features/steps/forward-steps.ts
@@ -12,7 +12,7 @@
 const getAnswer = async (world: SystemWorld): Promise<Answer> => world.notes.get('answer') as Promise<Answer>;
 const getTarget = (world: SystemWorld, number: number): HttpTarget => getSystem(world).targets.get(`target-${number}`)!;
 
-const build = async (world: SystemWorld, entries: number, targets: number): Promise<void> => {
+const startSystem = async (world: SystemWorld, entries: number, targets: number): Promise<void> => {
 	const system = new ForwardSystem();
 	world.notes.set('forward', system);
 	world.onClose(() => {
@@ -33,15 +33,15 @@
 };
 
 Given('an entry before {int} target(s)', async function (this: SystemWorld, targets: number) {
-	await build(this, 1, targets);
+	await startSystem(this, 1, targets);
 });
 
 Given('{int} entries before {int} target(s) that know each other', async function (this: SystemWorld, entries: number, targets: number) {
-	await build(this, entries, targets);
+	await startSystem(this, entries, targets);
 });
 
 Given('the next target answers {string}', function (this: SystemWorld, manner: HttpTarget['manners'][number]) {
-	// Whichever target is asked first answers so; the others answer rightly.
+	// The target that gets the next request answers in this manner, all later answers are normal.
 	const {targets} = getSystem(this);
 	const queue = [manner];
 	for (const target of targets.values()) {
@@ -55,7 +55,7 @@
 	}
 });
 
-Given('the next {int} answers are followed by another', function (this: SystemWorld, count: number) {
+Given('each of the next {int} answers is followed by a second one', function (this: SystemWorld, count: number) {
 	getTarget(this, 1).manners.push(...Array.from({length: count}, () => 'extra' as const));
 });
 
@@ -95,7 +95,7 @@
 	this.notes.set('answer', Promise.resolve({status: Number(text.split(' ')[1])}));
 });
 
-Given('callers may take {int} ms for their headers', async function (this: SystemWorld, ms: number) {
+Given('the header timeout is {int} ms', async function (this: SystemWorld, ms: number) {
 	const system = getSystem(this);
 	system.configure(configuration => {
 		configuration.limits.headerTimeoutMs = ms;
@@ -103,7 +103,7 @@
 	await system.until(() => system.entries.get('entry-1')!.getRevision() >= system.store.lastRevision);
 });
 
-When('a caller sends half of a request\'s headers and no more', async function (this: SystemWorld) {
+When('a caller sends half of a request\'s headers and then nothing', async function (this: SystemWorld) {
 	const socket = connect(getSystem(this).entries.get('entry-1')!.httpPort, '127.0.0.1');
 	socket.write('GET /read/1 HTTP/1.1\r\nhost: desk.ex');
 	let text = '';
@@ -126,7 +126,7 @@
 	this.notes.set('answers', answers);
 });
 
-When('a caller leaves while it waits for {string}', async function (this: SystemWorld, path: string) {
+When('a caller disconnects while it waits for {string}', async function (this: SystemWorld, path: string) {
 	const system = getSystem(this);
 	const socket = connect(system.entries.get('entry-1')!.httpPort, '127.0.0.1');
 	socket.write(`GET ${path} HTTP/1.1\r\nhost: desk.example\r\nauthorization: Bearer key-of-barre\r\nx-request: leaver\r\n\r\n`);
@@ -156,20 +156,20 @@
 	target.release();
 });
 
-When('the entry is told to stop within a stream on a kept connection', async function (this: SystemWorld) {
+When('the entry is told to stop during a stream on a keep-alive connection', async function (this: SystemWorld) {
 	const system = getSystem(this);
 	const target = getTarget(this, 1);
-	// Another request stays open, so that the process cannot end meanwhile.
+	// Another request stays open, so that the entry cannot stop before the assertion.
 	target.manners.push('silent');
-	const stayOpen = async (): Promise<void> => {
+	const holdRequest = async (): Promise<void> => {
 		try {
 			await system.call({path: '/release/1', method: 'POST', body: 'a block'});
 		} catch {
-			// The scenario ends before its answer.
+			// The scenario ends before this request is answered.
 		}
 	};
 
-	void stayOpen();
+	void holdRequest();
 	await system.until(() => target.runs.length === 1);
 	target.manners.push('slow');
 	const entry = system.entries.get('entry-1')!;
@@ -185,7 +185,7 @@
 	await system.until(() => text.includes('first'));
 	assert.match(text, /connection: keep-alive/iv);
 	this.notes.set('stop', entry.stop());
-	// No connection is taken any more once the notice is over.
+	// After the notice period the entry accepts no more connections.
 	await system.until(async () => !await system.isTakingConnections('entry-1'));
 	const closed = once(socket, 'close', {signal: AbortSignal.timeout(1500)});
 	target.release();
@@ -193,12 +193,12 @@
 	this.notes.set('text', text);
 });
 
-Then('the caller gets the whole stream, and then the end of the connection', function (this: SystemWorld) {
-	// The last chunk of length zero ends the answer.
+Then('the caller gets the complete stream, and then the connection is closed', function (this: SystemWorld) {
+	// A chunk of length zero ends the answer.
 	assert.match(this.notes.get('text') as string, /last\n\n\r\n0\r\n\r\n$/v);
 });
 
-Then('the caller gets the whole answer to that request', async function (this: SystemWorld) {
+Then('the caller gets the complete answer to that request', async function (this: SystemWorld) {
 	const answer = await getAnswer(this);
 	assert.equal(answer.status, 200, answer.body);
 	assert.ok(answer.isWhole);
@@ -211,7 +211,7 @@
 	this.notes.set('run', runs[0]);
 });
 
-Then('the target was told the organisation {string} and no key', function (this: SystemWorld, organisation: string) {
+Then('the target received the organisation {string} and no key', function (this: SystemWorld, organisation: string) {
 	const {headers} = this.notes.get('run') as HttpTarget['runs'][number];
 	assert.equal(headers['x-organisation'], organisation);
 	assert.equal(headers.authorization, undefined);
@@ -252,7 +252,7 @@
 	assert.equal(new Set(runs).size, runs.length);
 });
 
-Then('the caller gets events {int} to {int}, each once and whole', async function (this: SystemWorld, first: number, last: number) {
+Then('the caller gets events {int} to {int}, each once and complete', async function (this: SystemWorld, first: number, last: number) {
 	const answer = await getAnswer(this);
 	assert.ok(answer.isWhole);
 	const ids = [...answer.body.matchAll(/id: (\d+)\ndata: target-\d \d+\n\n/gv)].map(match => Number(match[1]));
@@ -266,11 +266,11 @@
 	assert.ok(answer.body.endsWith(`data: target-1 ${last}\n\n`), answer.body);
 });
 
-Then('the target sees that request cut off', async function (this: SystemWorld) {
+Then('the target sees that request aborted', async function (this: SystemWorld) {
 	await getSystem(this).until(() => getTarget(this, 1).cuts.includes('leaver'));
 });
 
-Then('the entry is not ready at once', function (this: SystemWorld) {
+Then('the entry is immediately not ready', function (this: SystemWorld) {
 	assert.equal(this.notes.get('ready'), false);
 });
 
--- a/features/steps/forward-store-steps.ts
+++ b/features/steps/forward-store-steps.ts
@@ -7,32 +7,32 @@
 const getSystem = (world: SystemWorld): ForwardSystem => world.notes.get('forward') as ForwardSystem;
 const getTarget = (world: SystemWorld, number: number): HttpTarget => getSystem(world).targets.get(`target-${number}`)!;
 
-Given('{int} other entries are registered that it cannot reach', async function (this: SystemWorld, count: number) {
+Given('{int} unreachable entries are registered as well', async function (this: SystemWorld, count: number) {
 	const {store, entries} = getSystem(this);
 	for (let number = 1; number <= count; number++) {
-		// Nothing listens there.
+		// No process listens at these ports.
 		store.put(`wardswitch/entries/away-${number}`, `127.0.0.1:${number}`);
 	}
 
 	await getSystem(this).until(() => entries.get('entry-1')!.getRevision() >= store.lastRevision);
 });
 
-When('target {int} says that it is leaving', async function (this: SystemWorld, number: number) {
+When('target {int} announces that it is leaving', async function (this: SystemWorld, number: number) {
 	const system = getSystem(this);
 	const {target} = getTarget(this, number);
 	system.store.put(`targets/${target.id}`, {...target, isLeaving: true});
-	// Entries have two seconds to hear of it; the request after that must not reach the target.
+	// Entries may take two seconds to learn of it; only requests after that must not reach the target.
 	const revision = system.store.lastRevision;
 	await system.until(() => system.entries.get('entry-1')!.getRevision() >= revision);
 });
 
-When('the route {string} is taken away', function (this: SystemWorld, prefix: string) {
+When('the route {string} is removed', function (this: SystemWorld, prefix: string) {
 	getSystem(this).configure(configuration => {
 		configuration.routes = configuration.routes.filter(route => route.prefix !== prefix);
 	});
 });
 
-When('the route {string} is taken away and the store forgets its history', function (this: SystemWorld, prefix: string) {
+When('the route {string} is removed and the store compacts its history', function (this: SystemWorld, prefix: string) {
 	const system = getSystem(this);
 	system.store.setFault('entry-1', 'down');
 	system.configure(configuration => {
@@ -42,12 +42,12 @@
 	system.store.setFault('entry-1', 'none');
 });
 
-When('the store names the first configuration again', function (this: SystemWorld) {
+When('the store holds the first configuration again', function (this: SystemWorld) {
 	const system = getSystem(this);
 	system.store.put('configuration', {...new ForwardSystem().configuration, version: 1});
 });
 
-When('the store holds a configuration that cannot be used', async function (this: SystemWorld) {
+When('the store holds an invalid configuration', async function (this: SystemWorld) {
 	const system = getSystem(this);
 	system.store.put('configuration', '{"version": 9, "routes": "none"}');
 	await new Promise(resolve => {
--- a/features/steps/overload-steps.ts
+++ b/features/steps/overload-steps.ts
@@ -19,7 +19,7 @@
 	id, organisation: 'granite', weight: 1, urgency: 3, arrivedAt: 0, deadline: 1_000_000, mayWait: true, ...changes,
 });
 
-/* Ends the running request and starts the next; gives its id. */
+/* Finishes the running request and starts the next; returns the next one. */
 const runNext = (queue: AdmissionQueue, running: string, now: number): AdmissionRequest => {
 	queue.finish(running, 100);
 	return queue.startNext(now)!;
@@ -76,7 +76,7 @@
 	assert.ok(Math.abs(share - (part / whole)) <= 0.05, String(share));
 });
 
-When('a request of urgency {int} waits since {int} seconds', function (this: SystemWorld, urgency: number, seconds: number) {
+When('a request of urgency {int} has waited for {int} seconds', function (this: SystemWorld, urgency: number, seconds: number) {
 	getQueue(this).offer(makeRequest('first'), 0);
 	getQueue(this).offer(makeRequest('old', {urgency}), 0);
 	this.notes.set('now', seconds * 1000);
@@ -89,7 +89,7 @@
 	}
 });
 
-Then('the request of urgency {int} runs before those that came later', function (this: SystemWorld, _urgency: number) {
+Then('the request of urgency {int} runs before those that arrived later', function (this: SystemWorld, _urgency: number) {
 	assert.equal(runNext(getQueue(this), 'first', this.notes.get('now') as number).id, 'old');
 });
 
@@ -103,13 +103,13 @@
 	this.notes.set('verdict', getQueue(this).offer(makeRequest('offered', {deadline: ms}), 0));
 });
 
-Then('it is refused as {string} with a time to come back', function (this: SystemWorld, reason: string) {
+Then('it is refused as {string} with a retry delay', function (this: SystemWorld, reason: string) {
 	const verdict = this.notes.get('verdict') as AdmissionVerdict;
 	assert.ok(verdict.kind === 'refuse' && verdict.reason === reason && verdict.retryAfterMs >= 0);
 });
 
-Then('a request with a deadline in {int} ms is taken to wait', function (this: SystemWorld, ms: number) {
-	assert.equal(getQueue(this).offer(makeRequest('patient', {deadline: ms}), 0).kind, 'wait');
+Then('a request with a deadline in {int} ms is queued', function (this: SystemWorld, ms: number) {
+	assert.equal(getQueue(this).offer(makeRequest('queued', {deadline: ms}), 0).kind, 'wait');
 });
 
 Given('a running system whose targets run {int} request at once, with engines that pace their answers', async function (this: SystemWorld, concurrency: number) {
@@ -121,23 +121,23 @@
 	await this.system.until('it runs', () => [...this.system.engines.values()].some(({active}) => active.size === 1));
 });
 
-When('{int} callers more ask for long answers', function (this: SystemWorld, count: number) {
+When('{int} more callers ask for long answers', function (this: SystemWorld, count: number) {
 	for (let index = 1; index <= count; index++) {
 		void askModel(this, index, 1000);
 	}
 });
 
-Then('each of the {int} runs at another target', async function (this: SystemWorld, count: number) {
+Then('each of the {int} requests runs at a different target', async function (this: SystemWorld, count: number) {
 	await this.system.until('each runs at another target', () => [...this.system.engines.values()].filter(({active}) => active.size === 1).length === count);
 });
 
-Given('the engines of {string} and {string} break every answer off', function (this: SystemWorld, one: string, other: string) {
+Given('the engines of {string} and {string} break off every answer', function (this: SystemWorld, one: string, other: string) {
 	for (const id of [one, other]) {
 		this.system.engines.get(id)!.isBreaking = true;
 	}
 });
 
-Given('the engines of {string} and {string} are gone', async function (this: SystemWorld, one: string, other: string) {
+Given('the engines of {string} and {string} are down', async function (this: SystemWorld, one: string, other: string) {
 	for (const id of [one, other]) {
 		await this.system.engines.get(id)!.close();
 	}
@@ -175,12 +175,12 @@
 	this.notes.set('replies', await Promise.all(sent));
 });
 
-Then('at most {int} requests were let through', function (this: SystemWorld, count: number) {
-	const passed = (this.notes.get('replies') as Reply[]).filter(({status}) => status === 200).length;
-	assert.ok(passed > 0 && passed <= count, String(passed));
+Then('at most {int} requests were admitted', function (this: SystemWorld, count: number) {
+	const admitted = (this.notes.get('replies') as Reply[]).filter(({status}) => status === 200).length;
+	assert.ok(admitted > 0 && admitted <= count, String(admitted));
 });
 
-Then('the others were refused with {int}, {string} and a time to come back', function (this: SystemWorld, status: number, outcome: string) {
+Then('the others were refused with {int}, {string} and a retry delay', function (this: SystemWorld, status: number, outcome: string) {
 	const others = (this.notes.get('replies') as Reply[]).filter(reply => reply.status !== 200);
 	assert.ok(others.length > 0);
 	for (const reply of others) {
@@ -199,9 +199,12 @@
 
 const countRuns = (world: SystemWorld): number => [...world.system.services.values()].reduce((sum, {total}) => sum + total, 0);
 
-/* A first request opens the link to the limit's home. An entry that misses its home may run one request beside it. */
+/*
+ * The first request opens the entry's link to the entry that owns the limit. Without that link, an entry may admit one
+ * request on its own.
+ */
 Given('every entry has served a request', async function (this: SystemWorld) {
-	await this.system.until('every entry reaches the home of the limit', async () => {
+	await this.system.until('every entry reaches the owner of the limit', async () => {
 		const replies = [];
 		for (let entry = 0; entry < this.system.entries.size; entry++) {
 			replies.push(await ask(this, entry, '/services/yard-dispatch/x', 'x'));
@@ -224,15 +227,15 @@
 	this.notes.set('limit', limit);
 });
 
-When('the zones are cut off from each other and have noticed it', function (this: SystemWorld) {
+When('the zones are partitioned and have detected it', function (this: SystemWorld) {
 	this.notes.set('cut', {cutFromMs: 0, noticedAfterMs: 0});
 });
 
-Then('{int} a second offered for {int} seconds let through at most {int} a second', async function (this: SystemWorld, offered: number, seconds: number, most: number) {
+Then('of {int} a second offered for {int} seconds at most {int} a second are admitted', async function (this: SystemWorld, offered: number, seconds: number, most: number) {
 	const admitted = await simulateLimits({
 		limit: this.notes.get('limit') as number, offered, seconds, ...this.notes.get('cut') as {cutFromMs: number; noticedAfterMs: number},
 	});
-	// The first second still holds the buckets' burst.
+	// The first two seconds are left out, since they include the buckets' burst.
 	const mean = admitted.slice(2).reduce((sum, count) => sum + count, 0) / (seconds - 2);
 	assert.ok(mean > most * 0.8 && mean <= most, String(mean));
 });
--- a/features/steps/seen-steps.ts
+++ b/features/steps/seen-steps.ts
@@ -39,7 +39,7 @@
 	await this.system.until('all spans have arrived', () => names.every(name => collector.spans.some(span => span.name === name && span.traceId === traceId)));
 });
 
-Then('the admin server of entry {int} tells {string}', async function (this: SystemWorld, number: number, line: string) {
+Then('the admin server of entry {int} reports {string}', async function (this: SystemWorld, number: number, line: string) {
 	const entry = [...this.system.entries.values()][number - 1];
 	const answer = await request(`http://127.0.0.1:${entry.adminPort}/metrics`);
 	const text = await answer.body.text();
--- a/features/steps/stall-steps.ts
+++ b/features/steps/stall-steps.ts
@@ -37,22 +37,22 @@
 	isResumable: true,
 };
 
-/** Streams at one target, watched by a clock that the scenario moves. */
+/** Streams at one target, watched by a stall detector whose clock the scenario advances. */
 class Streams {
 	now = 0;
 	readonly dropped: string[] = [];
 	readonly stopped = new Set<string>();
-	/** Events between which the service was taken for stopped. */
+	/** Gaps between events during which the service was considered stopped. */
 	timesStopped = 0;
 	readonly aborts: AbortController[] = [];
-	readonly heldUp: boolean[] = [];
+	readonly waitingForCaller: boolean[] = [];
 	private readonly board = new LoadBoard();
-	private readonly watch = new StallDetector({
+	private readonly detector = new StallDetector({
 		board: this.board,
 		health: new TargetHealth(),
 		clock: () => this.now,
 		log() {
-			// Nothing is looked for in the log.
+			// The log is not checked here.
 		},
 		onSilentConnection: id => {
 			this.dropped.push(id);
@@ -68,9 +68,9 @@
 		for (let index = 0; index < streams; index++) {
 			const abort = new AbortController();
 			this.aborts.push(abort);
-			this.heldUp.push(false);
+			this.waitingForCaller.push(false);
 			this.board.begin(target.id, this.now);
-			this.watches.push(this.watch.watch({target, abort, isWaitingForCaller: () => this.heldUp[index]}));
+			this.watches.push(this.detector.watch({target, abort, isWaitingForCaller: () => this.waitingForCaller[index]}));
 		}
 	}
 
@@ -85,7 +85,7 @@
 				this.progress(index);
 			}
 
-			this.watch.tick();
+			this.detector.tick();
 		}
 	}
 }
@@ -127,17 +127,17 @@
 	}
 });
 
-Then('the service is taken for stopped at most {int} times', function (this: SystemWorld, most: number) {
+Then('the service is considered stopped at most {int} times', function (this: SystemWorld, most: number) {
 	const {timesStopped} = getStreams(this);
 	assert.ok(timesStopped <= most, String(timesStopped));
 });
 
-Then('the service {word} known to have stopped', function (this: SystemWorld, known: string) {
-	assert.equal(getStreams(this).stopped.has(target.service), known === 'is');
+Then('the service {word} considered stopped', function (this: SystemWorld, verb: string) {
+	assert.equal(getStreams(this).stopped.has(target.service), verb === 'is');
 });
 
 Given('the caller of the second does not read', function (this: SystemWorld) {
-	getStreams(this).heldUp[1] = true;
+	getStreams(this).waitingForCaller[1] = true;
 });
 
 When('one gets an event each 50 ms and the other none, for {int} ms', function (this: SystemWorld, ms: number) {
@@ -148,13 +148,13 @@
 	getStreams(this).pass(ms, []);
 });
 
-Then('only the silent one is ended, and idle connections to that target are dropped', function (this: SystemWorld) {
+Then('only the silent one is aborted, and idle connections to that target are closed', function (this: SystemWorld) {
 	const {aborts, dropped} = getStreams(this);
 	assert.deepEqual(aborts.map(({signal}) => signal.aborted), [false, true]);
 	assert.ok(dropped.includes(target.id));
 });
 
-Then('neither is ended', function (this: SystemWorld) {
+Then('neither is aborted', function (this: SystemWorld) {
 	const {aborts, dropped} = getStreams(this);
 	assert.deepEqual(aborts.map(({signal}) => signal.aborted), [false, false]);
 	assert.deepEqual(dropped, []);
@@ -166,23 +166,23 @@
 	this.notes.set('gate', gate);
 });
 
-/* Lets a caller with 5 of 8 seconds left ask, and gives the way its request ends. */
-const ask = async (world: SystemWorld, hasLeft: boolean, targets: readonly Target[] = [target]): Promise<void> => {
+/* Sends a request of a caller that has 5 of 8 seconds left, and notes its result and the targets it was sent to. */
+const dispatch = async (world: SystemWorld, hasDisconnected: boolean, targets: readonly Target[] = [target]): Promise<void> => {
 	const sent: string[] = [];
 	const clock = (): number => 0;
 	const board = new LoadBoard();
-	const book = new TargetTracker({
+	const tracker = new TargetTracker({
 		electEntry: () => '',
 		address: '', listPeers: () => [], countRegistered: () => 1, sendToPeer: () => false, clock, countInFlight: () => 0, onRefusal: String, onLeave: String, log: String,
 	});
-	const {directory, health} = book;
+	const {directory, health} = tracker;
 	directory.replace(targets, 0, false);
 	const dispatcher = new ForwardDispatcher({
 		async send(options) {
 			sent.push(options.target.id);
-			return {kind: 'lost', reason: 'not looked at'};
+			return {kind: 'lost', reason: 'not checked here'};
 		},
-		tracker: book,
+		tracker,
 		crashes: new CrashDetector({
 			check: async () => 'listens', health, isElected: () => true, onCrashFound: String, clock, log: String,
 		}),
@@ -219,7 +219,7 @@
 	});
 	exchange.route = route;
 	exchange.deadline = 5000;
-	if (hasLeft) {
+	if (hasDisconnected) {
 		exchange.disconnection.abort();
 	}
 
@@ -227,15 +227,15 @@
 	world.notes.set('sent', sent);
 };
 
-When('a caller that has come back leaves before its request is sent', async function (this: SystemWorld) {
-	await ask(this, true);
+When('a caller that retries disconnects before its request is sent', async function (this: SystemWorld) {
+	await dispatch(this, true);
 });
 
-When('a caller that has come back asks', async function (this: SystemWorld) {
-	await ask(this, false);
+When('a caller retries', async function (this: SystemWorld) {
+	await dispatch(this, false);
 });
 
-Then('it is told at once that its request did not run, and when to come back', function (this: SystemWorld) {
+Then('it is told at once that its request did not run, and when to retry', function (this: SystemWorld) {
 	const result = this.notes.get('result') as Result<void, Problem>;
 	const {options} = result._unsafeUnwrapErr();
 	assert.equal(options.status, 503);
@@ -247,16 +247,16 @@
 	assert.deepEqual(this.notes.get('sent'), []);
 });
 
-When('one request has been let through', function (this: SystemWorld) {
+When('one request has been admitted as a probe', function (this: SystemWorld) {
 	assert.ok((this.notes.get('gate') as ServiceGate).admit(target.service, 0));
 });
 
-When('the first has met a target that is gone', function (this: SystemWorld) {
+When('the first has reached a target that is gone', function (this: SystemWorld) {
 	(this.notes.get('gate') as ServiceGate).excuse(target.service, 1);
 });
 
-Then('the next {word} let through', function (this: SystemWorld, isLet: string) {
-	assert.equal((this.notes.get('gate') as ServiceGate).admit(target.service, 1), isLet === 'is');
+Then('the next {word} admitted', function (this: SystemWorld, verb: string) {
+	assert.equal((this.notes.get('gate') as ServiceGate).admit(target.service, 1), verb === 'is');
 });
 
 const members = (group: string): Target[] => [1, 2].map(number => ({
@@ -274,12 +274,12 @@
 	(this.notes.get('gate') as ServiceGate).close(getUnit(members('second')[0]), 0, 'as the scenario says');
 });
 
-Given('the first has been formed anew', function (this: SystemWorld) {
+Given('the first has been formed again', function (this: SystemWorld) {
 	(this.notes.get('gate') as ServiceGate).open(getUnit(members('first')[0]), 0);
 });
 
 When('a caller asks for the service', async function (this: SystemWorld) {
-	await ask(this, false, this.notes.get('targets') as Target[]);
+	await dispatch(this, false, this.notes.get('targets') as Target[]);
 });
 
 Then('its request is sent to a target of the {word} group first', function (this: SystemWorld, group: string) {
--- a/features/steps/suspend-steps.ts
+++ b/features/steps/suspend-steps.ts
@@ -10,24 +10,24 @@
 	steadyMs: number;
 	timeOfDayMs: number;
 	uptimeMs: number;
-	/** How fast the time since the VM's start seems to go on. */
+	/** Rate of the uptime relative to the other clocks. */
 	readonly uptimePace: number;
-	/** What happens after the next reading of the steady clock. */
+	/** Called once within the next reading of the monotonic clock. */
 	onRead: (() => void) | undefined;
 	readonly clock: SteadyClock;
 	readonly lines: string[];
 };
 
-/** The process reads its clocks as often as it has something to do. */
-const turnMs = 10;
+/** Interval at which the process reads its clocks, milliseconds. */
+const readIntervalMs = 10;
 
 const getClocks = (world: SystemWorld): Clocks => world.notes.get('clocks') as Clocks;
 
-const pass = (clocks: Clocks, ms: number): void => {
-	for (let passed = 0; passed < ms; passed += turnMs) {
-		clocks.steadyMs += turnMs;
-		clocks.timeOfDayMs += turnMs;
-		clocks.uptimeMs += turnMs * clocks.uptimePace;
+const advance = (clocks: Clocks, ms: number): void => {
+	for (let elapsedMs = 0; elapsedMs < ms; elapsedMs += readIntervalMs) {
+		clocks.steadyMs += readIntervalMs;
+		clocks.timeOfDayMs += readIntervalMs;
+		clocks.uptimeMs += readIntervalMs * clocks.uptimePace;
 		clocks.clock.read();
 	}
 };
@@ -56,7 +56,7 @@
 		}),
 	};
 	world.notes.set('clocks', clocks);
-	pass(clocks, 5000);
+	advance(clocks, 5000);
 	world.notes.set('before', clocks.clock.read());
 	return clocks;
 };
@@ -65,7 +65,7 @@
 	start(this, 1);
 });
 
-Given('a process whose VM\'s time since its start goes on {float} times as fast as others', function (this: SystemWorld, pace: number) {
+Given('a process whose VM\'s uptime advances {float} times as fast as its other clocks', function (this: SystemWorld, pace: number) {
 	start(this, pace);
 });
 
@@ -87,14 +87,14 @@
 });
 
 When('{int} ms pass for its clocks', function (this: SystemWorld, ms: number) {
-	pass(getClocks(this), ms);
+	advance(getClocks(this), ms);
 });
 
-Then('its clock has gone on by {int} ms', function (this: SystemWorld, ms: number) {
+Then('its clock has advanced by {int} ms', function (this: SystemWorld, ms: number) {
 	assert.equal(Math.round(getClocks(this).clock.read() - (this.notes.get('before') as number)), ms);
 });
 
-Then('its log says that the time since the VM\'s start cannot be used', function (this: SystemWorld) {
+Then('its log says that the VM\'s uptime cannot be used', function (this: SystemWorld) {
 	const {lines} = getClocks(this);
 	assert.ok(lines.some(line => line.includes('time since the VM was started')), lines.join('\n'));
 });
@@ -105,12 +105,12 @@
 	this.notes.set('answer', system.call({method, path, body: 'a block'}));
 	await system.until(() => system.targets.get('target-1')!.runs.length === 1);
 	system.skip(ms);
-	this.notes.set('woken', readMonotonicClock());
+	this.notes.set('resumedAt', readMonotonicClock());
 });
 
-Then('the caller is told within {int} s that it is not known whether it ran', async function (this: SystemWorld, seconds: number) {
+Then('the caller is told within {int} s that it is unknown whether the request ran', async function (this: SystemWorld, seconds: number) {
 	const {status, body} = await (this.notes.get('answer') as ReturnType<ForwardSystem['call']>);
 	assert.equal(status, 504);
 	assert.equal((JSON.parse(body) as {outcome: string}).outcome, 'unknown');
-	assert.ok(readMonotonicClock() - (this.notes.get('woken') as number) <= seconds * 1000);
+	assert.ok(readMonotonicClock() - (this.notes.get('resumedAt') as number) <= seconds * 1000);
 });
--- a/features/support/forward-system.ts
+++ b/features/support/forward-system.ts
@@ -24,8 +24,10 @@
 
 const linkKey = '00'.repeat(32);
 const key = 'key-of-barre';
+/** Interval at which `until` checks its condition, milliseconds. */
 const pollMs = 5;
-const patienceMs = 5000;
+/** How long `until` waits, milliseconds. */
+const untilTimeoutMs = 5000;
 
 const route = (name: string, prefix: string, kind: 'idempotent' | 'once' | 'stream', more: object = {}) => ({
 	name,
@@ -57,7 +59,7 @@
 	},
 };
 
-/** Entries on loopback that forward straight to stand-in targets, with a store in memory. */
+/** Forwarding entries on loopback before stand-in targets, with an in-memory store. */
 export class ForwardSystem {
 	readonly store = new MemoryStore();
 	readonly entries = new Map<string, Entry>();
@@ -80,7 +82,7 @@
 		return target;
 	}
 
-	/** Starts an entry; `isWaiting` says whether it must become ready. */
+	/** Starts an entry; `isWaiting` says whether to wait until it is ready. */
 	async addEntry(id: string, isWaiting = true): Promise<Entry> {
 		const [httpPort, linkPort, readyPort, metricsPort] = await findFreePorts(4);
 		const store = this.store.open(id);
@@ -107,19 +109,19 @@
 		return entry;
 	}
 
-	/** Lets time pass for the entries at once. */
+	/** Advances the entries' clocks by `ms` at once. */
 	skip(ms: number): void {
 		this.skippedMs += ms;
 	}
 
-	/** Changes the configuration to its next version. */
+	/** Writes a changed configuration, as the next version. */
 	configure(change: (configuration: typeof firstConfiguration) => void): void {
 		this.configuration.version++;
 		change(this.configuration);
 		this.store.put('configuration', this.configuration);
 	}
 
-	/** Sends a request and reads the answer to its end, whole or broken off. */
+	/** Sends a request and reads the answer to its end; `isWhole` says whether it is complete. */
 	async call(call: Call): Promise<Answer> {
 		const incoming = await this.open(call);
 		let body = '';
@@ -136,7 +138,7 @@
 		};
 	}
 
-	/** Sends a request, and gives the answer as it begins. */
+	/** Sends a request, and returns the answer when its head has arrived. */
 	async open({entry = 'entry-1', path, method = 'GET', body, headers, id}: Call): Promise<IncomingMessage> {
 		this.calls++;
 		const request = httpRequest({
@@ -154,12 +156,12 @@
 		return incoming;
 	}
 
-	/** Waits until something holds; fails when it does not within some seconds. */
+	/** Waits until a condition holds; fails after `untilTimeoutMs`. */
 	async until(condition: () => boolean | Promise<boolean>): Promise<void> {
-		const end = readMonotonicClock() + patienceMs;
+		const end = readMonotonicClock() + untilTimeoutMs;
 		while (!await condition()) {
 			if (readMonotonicClock() > end) {
-				throw new Error(`still not so after ${patienceMs} ms: ${condition.toString()}`);
+				throw new Error(`condition not met after ${untilTimeoutMs} ms: ${condition.toString()}`);
 			}
 
 			await new Promise(resolve => {
@@ -168,7 +170,7 @@
 		}
 	}
 
-	/** Whether an entry takes new connections of callers. */
+	/** Whether an entry accepts new connections of callers. */
 	async isTakingConnections(entry: string): Promise<boolean> {
 		const socket = connect(this.entries.get(entry)!.httpPort, '127.0.0.1');
 		try {
@@ -181,7 +183,7 @@
 		}
 	}
 
-	/** Ids of the requests that targets have run, in order of the targets. */
+	/** Returns the ids of the requests that targets have run, in order of the targets. */
 	listRuns(): string[] {
 		return [...this.targets.values()].flatMap(({runs}) => runs.map(({id}) => id));
 	}
--- a/src/forward/stream-admission.ts
+++ b/src/forward/stream-admission.ts
@@ -89,8 +89,7 @@
 			if (admission.kind === 'admitted') {
 				open.push(...members);
 			} else {
-				const {maximumInFlight, gapMs} = admission;
-				refusals.push(`${unit}: ${inFlight} streams under way, at most ${maximumInFlight} go on without pauses over ${targetGapMs} ms (mean now ${Math.round(gapMs)} ms)`);
+				refusals.push(`${unit}: ${inFlight} streams under way, at most ${admission.maximumInFlight} go on without pauses over ${targetGapMs} ms (mean now ${Math.round(admission.gapMs)} ms)`);
 			}
 		}
 
