--- a/src/forward/connection-pool.ts
+++ b/src/forward/connection-pool.ts
@@ -14,11 +14,11 @@
 	/**
 	 * Returns an idle connection to a target, or a new one.
 	 *
-	 * @param longestIdleMs - longest time that it may have been idle, milliseconds; the target may have closed it unnoticed
+	 * @param maximumIdleMs - longest time that it may have been idle, milliseconds; the target may have closed it unnoticed
 	 */
-	take(target: Target, longestIdleMs: number): TargetConnection {
+	take(target: Target, maximumIdleMs: number): TargetConnection {
 		const connections = this.idle.get(target.id) ?? [];
-		const earliest = this.clock() - longestIdleMs;
+		const earliest = this.clock() - maximumIdleMs;
 		while (connections.length > 0 && connections.at(-1)!.since >= earliest) {
 			const {connection} = connections.pop()!;
 			if (connection.isReusable) {
--- a/src/forward/describe-request.ts
+++ b/src/forward/describe-request.ts
@@ -14,7 +14,7 @@
 	const {metadata, route, service, configurationVersion, response, decisions, arrivedAt, disconnection} = exchange;
 	const outcome = problem ? `${problem.options.status} ${problem.options.outcome}: ${problem.message}` : String(response.statusCode);
 	const retry = problem?.options.retryAfterMs ? `, retry in ${Math.round(problem.options.retryAfterMs)} ms` : '';
-	const disconnected = disconnection.signal.aborted ? ', caller disconnected' : '';
+	const disconnected = disconnection.signal.aborted ? ', connection to caller closed early' : '';
 	const trail = decisions.length > 0 ? `; ${decisions.join('; ')}` : '';
 	const basis = `configuration ${configurationVersion}, view of era ${era} ${Math.round(viewAgeMs)} ms old`;
 	return `${metadata.id ?? '-'} ${route?.name ?? '-'} ${service || '-'}: ${outcome}${retry}${disconnected} after ${Math.round(now - arrivedAt)} ms, ${basis}${trail}`;
--- a/src/forward/fleet-state.ts
+++ b/src/forward/fleet-state.ts
@@ -122,7 +122,7 @@
 	}
 
 	private refreshTargets(now: number): void {
-		const {view, directory, log, onLeave, onRestart: onRenew} = this.options;
+		const {view, directory, log, onLeave, onRestart} = this.options;
 		const targets = this.readTargets();
 		const {gone, renewed} = directory.replace(targets, now, view.isReturning(now));
 		for (const {id} of gone) {
@@ -132,7 +132,7 @@
 
 		for (const {id, bornAt} of renewed) {
 			log(`target ${id} has restarted, born ${bornAt}`);
-			onRenew(id);
+			onRestart(id);
 		}
 
 		// Kept by time of birth, so that an outdated registration, as in an older copy of the store, does not revoke it.
--- a/src/forward/forward-exchange.ts
+++ b/src/forward/forward-exchange.ts
@@ -18,7 +18,7 @@
 	service = '';
 	/** Decisions and their reasons, for the log line on the request. */
 	readonly decisions: string[] = [];
-	/** Aborted when the caller has disconnected. */
+	/** Aborted when the connection to the caller closes before the answer is complete. */
 	readonly disconnection = new AbortController();
 
 	readonly incoming: IncomingMessage;
--- a/src/forward/target-picker.ts
+++ b/src/forward/target-picker.ts
@@ -17,14 +17,20 @@
 
 type PickerOptions = {
 	readonly tracker: TargetTracker;
+	/** Blocks requests that crash targets. */
 	readonly crashes: CrashDetector;
 	readonly board: LoadBoard;
+	/** Blocks groups and services that have stopped. */
 	readonly gate: ServiceGate;
+	/** Limits retries. */
 	readonly budget: RepeatBudget;
+	/** Limits requests sent as probes to targets that have refused some. */
 	readonly probes: ProbeBudget;
 	readonly admission: StreamAdmission;
 	readonly availabilityZone: string;
+	/** The present time, milliseconds. */
 	readonly clock: () => number;
+	/** A random number from 0 (included) to 1 (excluded). */
 	readonly random: () => number;
 };
 
@@ -48,7 +54,7 @@
 				return target;
 			}
 
-			exchange.noteDecision(`no permit for ${target.id}, which takes ${tracker.limits.get(target.id)} a second`);
+			exchange.noteDecision(`no permit for ${target.id}, limited to ${tracker.limits.get(target.id)} requests per second`);
 			gate.excuse(getUnit(target), clock());
 		}
 
--- a/src/forward/target-tracker.ts
+++ b/src/forward/target-tracker.ts
@@ -166,7 +166,7 @@
 		}
 
 		const waitMs = this.permits.getWaitMs(id, now);
-		return waitMs > 0 ? {id, cause: `takes ${this.limits.get(id)} a second, nothing for`, waitMs} : undefined;
+		return waitMs > 0 ? {id, cause: `limited to ${this.limits.get(id)} requests per second, no permit for`, waitMs} : undefined;
 	}
 
 	private isOtherIncarnation({id, bornAt}: Pick<Target, 'id' | 'bornAt'>): boolean {
