--- a/features/steps/admission-steps.ts
+++ b/features/steps/admission-steps.ts
@@ -8,7 +8,7 @@
 import {parse} from 'smol-toml';
 import {InFlightCounts} from '../../src/balance/in-flight-counts.js';
 import {admitStream} from '../../src/decisions/admit-stream.js';
-import {PauseForecast} from '../../src/decisions/pause-forecast.js';
+import {GapForecast} from '../../src/decisions/gap-forecast.js';
 import {type Route} from '../../src/fleet/route.js';
 import {TargetDirectory} from '../../src/fleet/target-directory.js';
 import {Target} from '../../src/fleet/target.js';
@@ -35,8 +35,8 @@
 };
 
 const getComparison = (world: SystemWorld): Comparison => world.notes.get('played') as Comparison;
-const getForecast = (world: SystemWorld): PauseForecast => world.notes.get('forecast') as PauseForecast;
-const getMaximumLoad = (world: SystemWorld): number => getForecast(world).getMostLoad(targetGapMs, pace)!;
+const getForecast = (world: SystemWorld): GapForecast => world.notes.get('forecast') as GapForecast;
+const getMaximumLoad = (world: SystemWorld): number => getForecast(world).getMaximumLoad(targetGapMs, pace)!;
 
 const observePauses = (world: SystemWorld, gapMs: number, load: number, forMs: number): void => {
 	const end = (world.notes.get('now') as number) + forMs;
@@ -76,7 +76,7 @@
 });
 
 Given('passes of {int} ms with {int} requests at each target', function (this: SystemWorld, gapMs: number, load: number) {
-	this.notes.set('forecast', new PauseForecast());
+	this.notes.set('forecast', new GapForecast());
 	this.notes.set('now', 0);
 	this.notes.set('load', load);
 	observePauses(this, gapMs, load, 5000);
@@ -99,7 +99,7 @@
 
 Then('a forecast without observations admits a stream with {int} in flight', (inFlight: number) => {
 	const admission = admitStream({
-		forecast: new PauseForecast(), pace, targetGapMs, inFlight, targets: 12, isLate: false,
+		forecast: new GapForecast(), pace, targetGapMs, inFlight, targets: 12, isLate: false,
 	});
 	assert.equal(admission.kind, 'admitted');
 });
@@ -167,7 +167,7 @@
 
 	const refusing = new Set<string>();
 	const admission = new StreamAdmission({
-		board, listOpen: service => directory.list(service), isSound: ({id}) => !refusing.has(id), getService: name => ({name, maximumConnections: 100, pace}),
+		board, listAvailable: service => directory.list(service), isHealthy: ({id}) => !refusing.has(id), getService: name => ({name, maximumConnections: 100, pace}),
 	});
 	for (let now = 0; now < 2000; now += gapMs) {
 		admission.noteGap(list[0], gapMs);
@@ -198,14 +198,14 @@
 
 Then('a request for {string} is {string}', function (this: SystemWorld, what: string, answer: string) {
 	const {admission, list} = this.notes.get('entry') as {admission: StreamAdmission; list: readonly Target[]};
-	const reason = admission.findRoom(list, routes[what], 8000, 2000).refusal;
+	const reason = admission.findTargetsWithRoom(list, routes[what], 8000, 2000).refusal;
 	assert.equal(reason === undefined ? 'admitted' : 'refused', answer, reason);
 	assert.ok(reason === undefined || reason.includes('84 streams under way'), reason);
 });
 
 Then('a stream is {string}, by the load of the others', function (this: SystemWorld, answer: string) {
 	const {admission, list} = this.notes.get('entry') as {admission: StreamAdmission; list: readonly Target[]};
-	const reason = admission.findRoom(list, route, 8000, 2000).refusal;
+	const reason = admission.findTargetsWithRoom(list, route, 8000, 2000).refusal;
 	assert.equal(reason === undefined ? 'admitted' : 'refused', answer, reason);
 	assert.ok(reason === undefined || reason.includes('36 streams under way'), reason);
 });
@@ -223,7 +223,7 @@
 	}
 
 	const admission = new StreamAdmission({
-		board, listOpen: service => directory.list(service), isSound: () => true, getService: name => ({name, maximumConnections: 100, pace}),
+		board, listAvailable: service => directory.list(service), isHealthy: () => true, getService: name => ({name, maximumConnections: 100, pace}),
 	});
 	for (let now = 0; now < 2000; now += tickMs) {
 		admission.noteGap(list[0], evenMs);
@@ -236,7 +236,7 @@
 
 Then('a stream may go to targets of the {word} group only', function (this: SystemWorld, group: string) {
 	const {admission, list} = this.notes.get('entry') as {admission: StreamAdmission; list: readonly Target[]};
-	const {targets} = admission.findRoom(list, route, 8000, 2000);
+	const {targets} = admission.findTargetsWithRoom(list, route, 8000, 2000);
 	assert.deepEqual([...new Set(targets.map(target => target.group))], [group]);
 	assert.equal(targets.length, list.length / 2);
 });
--- a/features/steps/limit-steps.ts
+++ b/features/steps/limit-steps.ts
@@ -309,7 +309,7 @@
 			electEntry: () => 'there',
 			listPeers: () => ['there'],
 			countRegistered: () => 2,
-			ask(_peer, {number}) {
+			sendToPeer(_peer, {number}) {
 				entry.asked = number;
 				return true;
 			},
@@ -322,7 +322,7 @@
 
 When('a third entry requests a permit from it for a limit of {float} requests per second, {int} ms later', function (this: SystemWorld, perSecond: number, ms: number) {
 	const entry = this.notes.get('asking') as RequestingEntry;
-	const ask = () => entry.permits.answer({type: 'permit-wanted', number: 1, limit: {...incarnation, perSecond, agoMs: 0}});
+	const ask = () => entry.permits.handleRequest({type: 'permit-wanted', number: 1, limit: {...incarnation, perSecond, agoMs: 0}});
 	ask();
 	entry.now += ms;
 	this.notes.set('isGranted', ask().isGranted);
@@ -338,7 +338,7 @@
 		...incarnation, service: 'desk', address: '10.0.0.1', port: 1, availabilityZone: 'a', slots: 8, isLeaving: false,
 	});
 	entry.now += ms;
-	entry.permits.receive({
+	entry.permits.handleAnswer({
 		type: 'permit', number: entry.asked!, isGranted: true, nextMs: 0,
 	});
 	this.notes.set('isTaken', await taken);
--- a/features/support/make-simulated-entry.ts
+++ b/features/support/make-simulated-entry.ts
@@ -1,5 +1,5 @@
 import {makeEntryState} from '../../src/forward/make-entry-state.js';
-import {makeForwardPath} from '../../src/forward/make-forward-path.js';
+import {makeForwardPipeline} from '../../src/forward/make-forward-pipeline.js';
 import {type ChangeFeed} from '../../src/key-value/change-feed.js';
 import {type Registry} from '../../src/key-value/registry.js';
 import {type LinkConnection} from '../../src/link/link-connection.js';
@@ -20,16 +20,16 @@
 
 /** Wires an entry as a process does, without callers and sockets. */
 export function makeSimulatedEntry({id, address, availabilityZone, store, connect, clock, random, log}: EntryOptions): SimulatedEntry {
-	const path = makeForwardPath({
+	const path = makeForwardPipeline({
 		availabilityZone,
 		repeats: {ratio: 0.2, slack: 90, windowMs: 10_000},
 		clock,
 		random,
 		countRegistered: () => state.countRegistered(),
 		getService: () => undefined,
-		onLoad: () => undefined,
+		onLoadChange: () => undefined,
 		onSend: () => undefined,
-		onFound: () => undefined,
+		onCrashFound: () => undefined,
 		onRefusal: () => undefined,
 		onLeave(target, source) {
 			state.fleet.noteLeave(target, source, clock());
@@ -37,7 +37,7 @@
 		log,
 		address,
 		listPeers: now => state.mesh.listLivePeers(now),
-		ask: () => false,
+		sendToPeer: () => false,
 		openTransport: () => ({
 			send: async () => ({kind: 'not-run', reason: 'not sent', wasSent: false}),
 			check: async () => 'listens',
@@ -53,7 +53,7 @@
 		feed: store,
 		registry: store,
 		source: plainSource,
-		directory: path.book.directory,
+		directory: path.tracker.directory,
 		board: path.board,
 		connect,
 		clock,
@@ -68,13 +68,13 @@
 		onMessage: () => undefined,
 		onTable: () => undefined,
 		onLeave(target) {
-			path.forget(target);
+			path.removeTarget(target);
 		},
-		onRenew(target) {
-			path.renew(target);
+		onRestart(target) {
+			path.resetTarget(target);
 		},
-		onFormed(unit) {
-			path.reopen(unit);
+		onGroupFormed(unit) {
+			path.noteGroupFormed(unit);
 		},
 		log: {view: log, fleet: log, entry: log},
 	});
--- a/features/support/simulated-entry.ts
+++ b/features/support/simulated-entry.ts
@@ -1,12 +1,12 @@
 import {type makeEntryState} from '../../src/forward/make-entry-state.js';
-import {type makeForwardPath} from '../../src/forward/make-forward-path.js';
+import {type makeForwardPipeline} from '../../src/forward/make-forward-pipeline.js';
 
 /** An entry of the store simulation, with what was observed at it. */
 export type SimulatedEntry = {
 	readonly id: string;
 	readonly address: string;
 	readonly startedAt: number;
-	readonly path: ReturnType<typeof makeForwardPath>;
+	readonly path: ReturnType<typeof makeForwardPipeline>;
 	readonly state: ReturnType<typeof makeEntryState>;
 	/** Versions of the configuration with which it has served, in order. */
 	readonly servedVersions: Set<number>;
--- a/features/support/store-simulation.ts
+++ b/features/support/store-simulation.ts
@@ -265,7 +265,7 @@
 
 	/* An entry without a configuration in force serves no requests. */
 	private isUsed({path, version}: SimulatedEntry, id: string): boolean {
-		return version > 0 && path.book.directory.list('desk').some(target => target.id === id);
+		return version > 0 && path.tracker.directory.list('desk').some(target => target.id === id);
 	}
 
 	private write(key: string, value: unknown): void {
@@ -341,7 +341,7 @@
 	}
 
 	private trackUse(entry: SimulatedEntry): void {
-		const used = new Set(entry.path.book.directory.list('desk').map(({id}) => id));
+		const used = new Set(entry.path.tracker.directory.list('desk').map(({id}) => id));
 		for (const id of entry.used) {
 			if (this.isTrackingUse && !used.has(id) && this.expectedDocuments.has(getKey(id)) && !this.leftAtById.has(id)) {
 				this.unused.add(`${id} at ${entry.id}`);
--- a/src/forward/forward-dispatcher.ts
+++ b/src/forward/forward-dispatcher.ts
@@ -3,44 +3,45 @@
 import {type Target} from '../fleet/target.js';
 import {type Problem} from '../requests/problem.js';
 import {type Answer} from './answer.js';
-import {chooseReturnTime} from './choose-return-time.js';
+import {chooseRetryDelay} from './choose-retry-delay.js';
 import {concludeRequest} from './conclude-request.js';
 import {type ForwardExchange} from './forward-exchange.js';
-import {limitSend} from './limit-send.js';
+import {sendWithTimeouts} from './send-with-timeouts.js';
 import {pickService} from './pick-service.js';
 import {type Refusal} from './refusal.js';
-import {relayHeldAnswer} from './relay-held-answer.js';
-import {ReturnSchedule} from './return-schedule.js';
-import {returnSpreads} from './return-spreads.js';
+import {relayBufferedAnswer} from './relay-buffered-answer.js';
+import {RetrySchedule} from './retry-schedule.js';
+import {retrySpreads} from './retry-spreads.js';
 import {type SendOutcome} from './send-outcome.js';
 import {type SendProgress} from './send-progress.js';
-import {type StallWatch} from './stall-watch.js';
+import {type StallDetector} from './stall-detector.js';
 import {StreamDelivery} from './stream-delivery.js';
 import {TargetPicker} from './target-picker.js';
 import {type TargetTransport} from './target-transport.js';
 
 type DispatcherOptions = ConstructorParameters<typeof TargetPicker>[0] & {
-	/** The way to a target. */
+	/** Sends a request to one target. */
 	readonly send: TargetTransport['send'];
-	readonly stalls: StallWatch;
-	/** Entries that are registered. */
+	readonly stalls: StallDetector;
+	/** Returns the number of entries registered in the store. */
 	readonly countRegistered: () => number;
-	readonly onSend: (service: string, isRepeat: boolean) => void;
+	/** Called for each attempt. */
+	readonly onSend: (service: string, isRetry: boolean) => void;
 };
 
-/** First status of the failures that another target may not give. */
-const serverError = 500;
+/** Lowest status that is retried at another target. */
+const minimumServerError = 500;
 
-/** Sends each request to a target with room, and elsewhere when that is safe and within the budget. */
+/** Sends each request to a target with capacity, and retries at others where that is safe and within the retry budget. */
 export class ForwardDispatcher {
 	private readonly picker: TargetPicker;
-	private readonly returns = new ReturnSchedule();
+	private readonly retries = new RetrySchedule();
 
 	constructor(private readonly options: DispatcherOptions) {
 		this.picker = new TargetPicker(options);
 	}
 
-	/** Serves a request up to the end of its answer, or gives the problem that its caller is told. */
+	/** Serves a request to the end of its answer, or returns the problem to send to its caller. */
 	async run(exchange: ForwardExchange): Promise<Result<void, Problem>> {
 		const route = exchange.route!;
 		exchange.service = pickService(route, this.options.random);
@@ -51,9 +52,9 @@
 			excluded: new Set(),
 			sent: 0,
 			misdirected: 0,
-			tries: 0,
-			isUnrun: true,
-			isPaid: false,
+			attempts: 0,
+			isNotRun: true,
+			isRetryCharged: false,
 			reason: 'no target is registered, or all leave',
 			failure: undefined,
 			isExpired: false,
@@ -66,7 +67,7 @@
 			}
 
 			const outcome = await this.sendTo(target, exchange, progress);
-			const result = this.judge(outcome, target, exchange, progress);
+			const result = this.handleOutcome(outcome, target, exchange, progress);
 			if (result) {
 				return result;
 			}
@@ -74,10 +75,10 @@
 	}
 
 	private async sendTo(target: Target, exchange: ForwardExchange, progress: SendProgress): Promise<SendOutcome> {
-		const {board, book, clock, send, stalls, onSend} = this.options;
+		const {board, tracker, clock, send, stalls, onSend} = this.options;
 		const now = clock();
 		const remainingMs = exchange.deadline - now;
-		if (exchange.departure.signal.aborted) {
+		if (exchange.disconnection.signal.aborted) {
 			return {kind: 'not-run', reason: 'the caller left', wasSent: false};
 		}
 
@@ -88,12 +89,12 @@
 
 		progress.inFlight = board.count(target.id, now);
 		board.noteStart(target.id, now);
-		book.noteSend(target.id, now);
-		progress.isPaid = false;
+		tracker.noteSend(target.id, now);
+		progress.isRetryCharged = false;
 		onSend(exchange.service, progress.sent > 0);
-		progress.tries++;
+		progress.attempts++;
 		try {
-			return await limitSend({
+			return await sendWithTimeouts({
 				exchange,
 				target,
 				progress,
@@ -108,21 +109,21 @@
 		}
 	}
 
-	/* Decides what the end of one send means; undefined to try another target. */
-	private judge(outcome: SendOutcome, target: Target, exchange: ForwardExchange, progress: SendProgress): Result<void, Problem> | undefined {
+	/* Records the outcome of one attempt; returns undefined to try another target. */
+	private handleOutcome(outcome: SendOutcome, target: Target, exchange: ForwardExchange, progress: SendProgress): Result<void, Problem> | undefined {
 		const now = this.options.clock();
-		const isOver = exchange.departure.signal.aborted || progress.isExpired;
+		const isOver = exchange.disconnection.signal.aborted || progress.isExpired;
 		switch (outcome.kind) {
 			case 'streamed': {
-				this.options.book.health.noteOutcome(target.id, false, now);
+				this.options.tracker.health.noteOutcome(target.id, false, now);
 				this.options.crashes.noteAnswered(exchange);
-				exchange.note(`streamed by ${target.id}`);
+				exchange.noteDecision(`streamed by ${target.id}`);
 				return ok();
 			}
 
 			case 'answered': {
 				progress.sent++;
-				return this.judgeAnswer(outcome.answer, target, exchange, progress);
+				return this.handleAnswer(outcome.answer, target, exchange, progress);
 			}
 
 			case 'not-run': {
@@ -130,52 +131,52 @@
 				progress.misdirected += outcome.cause === 'gone' ? 1 : 0;
 				this.noteFailure(target, outcome.reason, progress, exchange);
 				this.noteCause(outcome, target, isOver, now);
-				return isOver ? this.conclude(exchange, progress, {spread: returnSpreads.overload, detail: outcome.reason}) : undefined;
+				return isOver ? this.conclude(exchange, progress, {spread: retrySpreads.overload, detail: outcome.reason}) : undefined;
 			}
 
 			default: {
 				progress.sent++;
-				progress.isUnrun = false;
+				progress.isNotRun = false;
 				this.noteFailure(target, outcome.reason, progress, exchange);
 				if (!isOver) {
 					this.options.crashes.noteLost(exchange, target, outcome);
-					this.options.book.health.noteOutcome(target.id, true, now);
+					this.options.tracker.health.noteOutcome(target.id, true, now);
 				}
 
-				const mayRepeat = exchange.isRepeatable && !isOver;
-				return mayRepeat ? undefined : this.conclude(exchange, progress, {spread: returnSpreads.overload, detail: outcome.reason});
+				const mayRetry = exchange.isRetryable && !isOver;
+				return mayRetry ? undefined : this.conclude(exchange, progress, {spread: retrySpreads.overload, detail: outcome.reason});
 			}
 		}
 	}
 
-	private judgeAnswer(answer: Answer, target: Target, exchange: ForwardExchange, progress: SendProgress): Result<void, Problem> | undefined {
+	private handleAnswer(answer: Answer, target: Target, exchange: ForwardExchange, progress: SendProgress): Result<void, Problem> | undefined {
 		const now = this.options.clock();
-		const hasFailed = answer.status >= serverError;
-		this.options.book.health.noteOutcome(target.id, hasFailed, now);
+		const hasFailed = answer.status >= minimumServerError;
+		this.options.tracker.health.noteOutcome(target.id, hasFailed, now);
 		this.options.crashes.noteAnswered(exchange);
-		exchange.note(`${answer.status} by ${target.id}`);
+		exchange.noteDecision(`${answer.status} by ${target.id}`);
 		if (progress.delivery.hasBegun) {
-			progress.isUnrun = false;
+			progress.isNotRun = false;
 			progress.excluded.add(target.id);
 			progress.reason = `target answered ${answer.status} within a stream`;
 			return undefined;
 		}
 
-		if (hasFailed && exchange.isRepeatable) {
-			progress.isUnrun = false;
+		if (hasFailed && exchange.isRetryable) {
+			progress.isNotRun = false;
 			progress.failure = answer;
 			progress.excluded.add(target.id);
 			return undefined;
 		}
 
-		this.options.book.health.noteLatency(target.id, now - exchange.arrivedAt, now);
-		relayHeldAnswer(answer, exchange);
+		this.options.tracker.health.noteLatency(target.id, now - exchange.arrivedAt, now);
+		relayBufferedAnswer(answer, exchange);
 		return ok();
 	}
 
-	/* A refusal also says something of the target. */
+	/* Updates what is known of the target, its group or its address by why the request did not run. */
 	private noteCause({cause, wasSent}: Extract<SendOutcome, {kind: 'not-run'}>, target: Target, isOver: boolean, now: number): void {
-		const {gate, book: {directory, health}} = this.options;
+		const {gate, tracker: {directory, health}} = this.options;
 		if (cause === 'group-down') {
 			gate.noteDown(getFailureDomain(target), now, `target ${target.id} refuses since its group has stopped`);
 		} else if (cause === 'gone') {
@@ -189,25 +190,25 @@
 	private noteFailure(target: Target, reason: string, progress: SendProgress, exchange: ForwardExchange): void {
 		progress.reason = reason;
 		progress.excluded.add(target.id);
-		exchange.note(`${target.id} with ${progress.inFlight} in flight: ${reason}`);
+		exchange.noteDecision(`${target.id} with ${progress.inFlight} in flight: ${reason}`);
 	}
 
-	private conclude(exchange: ForwardExchange, progress: SendProgress, {detail, spread, shutMs}: Refusal): Result<void, Problem> {
+	private conclude(exchange: ForwardExchange, progress: SendProgress, {detail, spread, unavailableMs}: Refusal): Result<void, Problem> {
 		const {clock, random} = this.options;
 		const leftMs = exchange.deadline - clock();
-		const placeMs = shutMs === undefined ? undefined : this.bookPlace(exchange.service, leftMs, shutMs);
-		return concludeRequest(exchange, progress, detail, placeMs ?? chooseReturnTime(leftMs, spread * random(), shutMs ?? 0));
+		const reservedMs = unavailableMs === undefined ? undefined : this.reserveRetry(exchange.service, leftMs, unavailableMs);
+		return concludeRequest(exchange, progress, detail, reservedMs ?? chooseRetryDelay(leftMs, spread * random(), unavailableMs ?? 0));
 	}
 
-	/* Where all targets of a service name limits, callers come back at the pace at which this entry's part of the places comes. */
-	private bookPlace(service: string, leftMs: number, shutMs: number): number | undefined {
-		const {book, clock, countRegistered, random} = this.options;
-		const perSecond = book.getPlacesPerSecond(service) / Math.max(1, countRegistered());
+	/* Where all targets of a service have rate limits, retries are scheduled at this entry's share of their total rate. */
+	private reserveRetry(service: string, leftMs: number, unavailableMs: number): number | undefined {
+		const {tracker, clock, countRegistered, random} = this.options;
+		const perSecond = tracker.getTotalRate(service) / Math.max(1, countRegistered());
 		if (!Number.isFinite(perSecond)) {
 			return undefined;
 		}
 
-		const latestMs = chooseReturnTime(leftMs, 0, 0);
-		return this.returns.book(service, {earliestMs: shutMs, latestMs, intervalMs: 1000 / perSecond}, random(), clock());
+		const latestMs = chooseRetryDelay(leftMs, 0, 0);
+		return this.retries.reserve(service, {earliestMs: unavailableMs, latestMs, intervalMs: 1000 / perSecond}, random(), clock());
 	}
 }
--- a/src/forward/forward-exchange.ts
+++ b/src/forward/forward-exchange.ts
@@ -1,58 +1,59 @@
 import {type IncomingMessage, type ServerResponse} from 'node:http';
 import {type Route} from '../fleet/route.js';
 import {fingerprintRequest} from './fingerprint-request.js';
-import {type RequestMarks} from './request-marks.js';
+import {type RequestMetadata} from './request-metadata.js';
 
-type Origin = Pick<ForwardExchange, 'incoming' | 'response' | 'arrivedAt' | 'marks' | 'isAllowedToKeepOpen'>;
+type Origin = Pick<ForwardExchange, 'incoming' | 'response' | 'arrivedAt' | 'metadata' | 'mayKeepAlive'>;
 
-/** One request of a caller on its way through the filters to a target and back. */
+/** A caller's request and its response, with the state that filters and the dispatcher add. */
 export class ForwardExchange {
 	route: Route | undefined;
-	/** Version of the configuration that the route comes from. */
+	/** Version of the configuration that the route was found in. */
 	configurationVersion = 0;
 	organisation: string | undefined;
 	body: Uint8Array<ArrayBuffer> = new Uint8Array();
-	/** Moment by which the answer must have ended, milliseconds. */
+	/** Time by which the answer must be complete, milliseconds on the entry's clock. */
 	deadline = Number.POSITIVE_INFINITY;
-	/** Service that the request goes to. */
+	/** Name of the service that the request is sent to. */
 	service = '';
-	/** What was decided and why, for the log line. */
-	readonly trail: string[] = [];
-	/** Aborted when the caller has gone away. */
-	readonly departure = new AbortController();
+	/** Decisions and their reasons, for the log line on the request. */
+	readonly decisions: string[] = [];
+	/** Aborted when the connection to the caller closes before the answer is complete. */
+	readonly disconnection = new AbortController();
 
 	readonly incoming: IncomingMessage;
 	readonly response: ServerResponse;
+	/** Milliseconds on the entry's clock. */
 	readonly arrivedAt: number;
-	readonly marks: RequestMarks;
+	readonly metadata: RequestMetadata;
 	/** Whether the caller's connection may stay open after the answer. */
-	readonly isAllowedToKeepOpen: () => boolean;
-	private knownFingerprint: string | undefined;
+	readonly mayKeepAlive: () => boolean;
+	private cachedFingerprint: string | undefined;
 
 	constructor(origin: Origin) {
 		this.incoming = origin.incoming;
 		this.response = origin.response;
 		this.arrivedAt = origin.arrivedAt;
-		this.marks = origin.marks;
-		this.isAllowedToKeepOpen = origin.isAllowedToKeepOpen;
+		this.metadata = origin.metadata;
+		this.mayKeepAlive = origin.mayKeepAlive;
 	}
 
-	/** Whether the request may run more than once. */
-	get isRepeatable(): boolean {
+	/** Whether the request may run more than once, so that it may be sent again. */
+	get isRetryable(): boolean {
 		return this.route?.kind === 'idempotent' || (this.route?.kind === 'stream' && this.route.isResumable);
 	}
 
-	/** Names the request by what it is, for when it comes again; asked for once its body is read. */
+	/** Hash that identifies the request and its retries; valid once the body has been read. */
 	get fingerprint(): string {
 		const {organisation, body, incoming: {method = 'GET', url = '/', headers}} = this;
-		this.knownFingerprint ??= fingerprintRequest({
+		this.cachedFingerprint ??= fingerprintRequest({
 			organisation, method, host: headers.host ?? '', url, body,
 		});
-		return this.knownFingerprint;
+		return this.cachedFingerprint;
 	}
 
-	/** Notes a decision for the log line. */
-	note(decision: string): void {
-		this.trail.push(decision);
+	/** Records a decision for the log line. */
+	noteDecision(decision: string): void {
+		this.decisions.push(decision);
 	}
 }
--- a/src/forward/target-picker.ts
+++ b/src/forward/target-picker.ts
@@ -5,108 +5,114 @@
 import {type ServiceBreaker} from '../balance/service-breaker.js';
 import {getFailureDomain} from '../fleet/get-failure-domain.js';
 import {type Target} from '../fleet/target.js';
-import {type CrashWatch} from './crash-watch.js';
-import {describeShutTargets} from './describe-shut-targets.js';
+import {type CrashDetector} from './crash-detector.js';
+import {describeUnavailableTargets} from './describe-unavailable-targets.js';
 import {type ForwardExchange} from './forward-exchange.js';
 import {type Refusal} from './refusal.js';
-import {returnSpreads} from './return-spreads.js';
+import {retrySpreads} from './retry-spreads.js';
 import {type SendProgress} from './send-progress.js';
-import {type ShutTarget} from './shut-target.js';
+import {type UnavailableTarget} from './unavailable-target.js';
 import {type StreamAdmission} from './stream-admission.js';
-import {type TargetBook} from './target-book.js';
+import {type TargetTracker} from './target-tracker.js';
 
 type PickerOptions = {
-	readonly book: TargetBook;
-	readonly crashes: CrashWatch;
+	readonly tracker: TargetTracker;
+	/** Blocks requests that crash targets. */
+	readonly crashes: CrashDetector;
 	readonly board: InFlightCounts;
+	/** Blocks groups and services that have stopped. */
 	readonly gate: ServiceBreaker;
+	/** Limits retries. */
 	readonly budget: SharedRetryBudget;
+	/** Limits requests sent as probes to targets that have refused some. */
 	readonly probes: ProbeBudget;
 	readonly admission: StreamAdmission;
 	readonly availabilityZone: string;
+	/** The present time, milliseconds. */
 	readonly clock: () => number;
+	/** A random number from 0 (included) to 1 (excluded). */
 	readonly random: () => number;
 };
 
-/** Tries of one request, those that reached no target included: a bound for when none can be reached. */
-const maximumTries = 6;
-/** Requests beyond its slots that may wait at a target: an engine fills a free slot from them within a pass. */
+/** Most attempts of one request, including those that reached no target; bounds the attempts when no target is reachable. */
+const maximumAttempts = 6;
+/** Requests beyond its slots that may be queued at a target, so that its engine can fill a free slot within a pass. */
 const queueLength = 2;
-/** Permits that one request asks for at most: each takes a way to another entry and back, and the next request does not ask there again. */
-const mostQuestions = 4;
+/** Most permits requested for one request: each takes a round trip to another entry. Targets found without permits are skipped by later requests. */
+const maximumPermitRequests = 4;
 
-/** Finds the target that a request is sent to next, or why there is none. */
+/** Chooses the target that a request is sent to next, or returns why there is none. */
 export class TargetPicker {
 	constructor(private readonly options: PickerOptions) {}
 
-	/** Chooses a target, and takes a permit where it names a limit. */
+	/** Chooses a target, and takes a permit if the target has a rate limit. */
 	async pick(exchange: ForwardExchange, progress: SendProgress): Promise<Target | Refusal> {
-		const {book, gate, clock} = this.options;
-		for (let questions = 0; questions < mostQuestions; questions++) {
+		const {tracker, gate, clock} = this.options;
+		for (let requests = 0; requests < maximumPermitRequests; requests++) {
 			const target = this.choose(exchange, progress, true);
-			if ('detail' in target || await book.permits.take(target)) {
+			if ('detail' in target || await tracker.permits.take(target)) {
 				return target;
 			}
 
-			exchange.note(`no permit for ${target.id}, which takes ${book.limits.get(target.id)} a second`);
+			exchange.noteDecision(`no permit for ${target.id}, limited to ${tracker.limits.get(target.id)} requests per second`);
 			gate.allowNextProbe(getFailureDomain(target), clock());
 		}
 
 		return this.choose(exchange, progress, false);
 	}
 
-	/* @param mayAsk - whether targets count for which a permit is to be taken first */
+	/* @param mayAsk - whether rate-limited targets, which need a permit first, are candidates */
 	private choose(exchange: ForwardExchange, progress: SendProgress, mayAsk: boolean): Target | Refusal {
-		const {board, book, probes, availabilityZone, clock, random} = this.options;
-		const {health, refusals} = book;
+		const {board, tracker, probes, availabilityZone, clock, random} = this.options;
+		const {health, refusals} = tracker;
 		const now = clock();
-		if (progress.tries >= maximumTries || progress.sent - progress.misdirected >= exchange.route!.maximumAttempts) {
-			return {spread: returnSpreads.overload, detail: progress.reason};
+		if (progress.attempts >= maximumAttempts || progress.sent - progress.misdirected >= exchange.route!.maximumAttempts) {
+			return {spread: retrySpreads.overload, detail: progress.reason};
 		}
 
 		const blockMs = this.options.crashes.getBlockMs(exchange, now);
 		if (blockMs > 0) {
-			return {spread: 0, shutMs: blockMs, detail: `targets crashed as they ran this request (${exchange.fingerprint}), which is refused for ${Math.round(blockMs)} ms more`};
+			return {spread: 0, unavailableMs: blockMs, detail: `targets crashed as they ran this request (${exchange.fingerprint}), which is refused for ${Math.round(blockMs)} ms more`};
 		}
 
-		const shut = this.findShut(exchange, now);
-		if (shut) {
-			return shut;
+		const refusal = this.refuseIfUnavailable(exchange, now);
+		if (refusal) {
+			return refusal;
 		}
 
 		const running = this.listRunning(exchange.service, now);
 		if (!running) {
-			return {spread: returnSpreads.outage, detail: `${progress.reason}; the service's group is down`};
+			return {spread: retrySpreads.outage, detail: `${progress.reason}; the service's group is down`};
 		}
 
-		const {targets, refusal} = progress.delivery.hasBegun
+		const {targets, refusal: noRoom} = progress.delivery.hasBegun
 			? {targets: running, refusal: undefined}
-			: this.options.admission.findRoom(running, exchange.route!, exchange.deadline - now, now);
-		if (refusal !== undefined) {
-			return {spread: returnSpreads.overload, detail: refusal};
+			: this.options.admission.findTargetsWithRoom(running, exchange.route!, exchange.deadline - now, now);
+		if (noRoom !== undefined) {
+			return {spread: retrySpreads.overload, detail: noRoom};
 		}
 
-		const candidates = mayAsk ? targets : targets.filter(({id}) => book.limits.get(id) === undefined);
-		const left = mayAsk ? [] : book.listShut(exchange.service, now);
-		if (candidates.length === 0 && left.length > 0) {
-			return this.refuseShut(left);
+		const candidates = mayAsk ? targets : targets.filter(({id}) => tracker.limits.get(id) === undefined);
+		const unavailable = mayAsk ? [] : tracker.listUnavailable(exchange.service, now);
+		if (candidates.length === 0 && unavailable.length > 0) {
+			return this.refuseUnavailable(unavailable);
 		}
 
-		if (progress.sent > 0 && !progress.isPaid && !this.options.budget.takeRetry(exchange.service, now)) {
-			return {spread: returnSpreads.overload, detail: `${progress.reason}; the budget of repeats is spent`};
+		if (progress.sent > 0 && !progress.isRetryCharged && !this.options.budget.takeRetry(exchange.service, now)) {
+			return {spread: retrySpreads.overload, detail: `${progress.reason}; the budget of repeats is spent`};
 		}
 
-		progress.isPaid = progress.sent > 0;
+		progress.isRetryCharged = progress.sent > 0;
 		const choice = chooseReplica({
 			targets: candidates,
 			excluded: progress.excluded,
 			availabilityZone,
 			countInFlight: target => board.count(target, now),
-			getBreakerState: target => book.getStanding(target, now),
+			getBreakerState: target => tracker.getStanding(target, now),
 			getServedAt: target => refusals.getServedAt(target),
 			getFailureRate: target => health.getFailureRate(target, now),
 			getLatencyMs: target => exchange.route!.kind === 'stream' ? 0 : health.getLatencyMs(target, now),
-			// What the caller has half of goes before what it has nothing of.
+			// A stream that has begun takes precedence over new requests.
 			queueLength: progress.delivery.hasBegun ? Number.POSITIVE_INFINITY : queueLength,
 			isRetry: progress.sent > 0,
 			mayProbe: () => progress.sent === 0 && probes.takeProbe(exchange.service),
@@ -118,39 +124,39 @@
 			}
 
 			case 'full': {
-				return {spread: returnSpreads.overload, detail: 'every target is full'};
+				return {spread: retrySpreads.overload, detail: 'every target is full'};
 			}
 
 			default: {
-				return {spread: returnSpreads.outage, detail: progress.reason};
+				return {spread: retrySpreads.outage, detail: progress.reason};
 			}
 		}
 	}
 
-	/* Leaves out who rests, or has had what it takes, and says so; a refusal when that is everybody. */
-	private findShut(exchange: ForwardExchange, now: number): Refusal | undefined {
-		const {book} = this.options;
-		const shut = book.listShut(exchange.service, now);
-		if (shut.length === 0) {
+	/* Records which targets are unavailable; returns a refusal when all are. */
+	private refuseIfUnavailable(exchange: ForwardExchange, now: number): Refusal | undefined {
+		const {tracker} = this.options;
+		const unavailable = tracker.listUnavailable(exchange.service, now);
+		if (unavailable.length === 0) {
 			return undefined;
 		}
 
-		exchange.note(`left out ${describeShutTargets(shut)}`);
-		return shut.length < book.directory.list(exchange.service).length ? undefined : this.refuseShut(shut);
+		exchange.noteDecision(`left out ${describeUnavailableTargets(unavailable)}`);
+		return unavailable.length < tracker.directory.list(exchange.service).length ? undefined : this.refuseUnavailable(unavailable);
 	}
 
-	private refuseShut(shut: readonly ShutTarget[]): Refusal {
-		const shutMs = Math.min(...shut.map(({waitMs}) => waitMs));
-		return {spread: 1, shutMs, detail: `targets ask for rest or take no more for now, for ${Math.round(shutMs)} ms more at least`};
+	private refuseUnavailable(unavailable: readonly UnavailableTarget[]): Refusal {
+		const unavailableMs = Math.min(...unavailable.map(({waitMs}) => waitMs));
+		return {spread: 1, unavailableMs, detail: `targets ask for rest or take no more for now, for ${Math.round(unavailableMs)} ms more at least`};
 	}
 
 	/*
-	 * Targets whose groups run, as far as is known. While one of several groups has stopped, its share goes to the others;
-	 * if all have, a request now and then sees whether they run again. Undefined when none may be sent now.
+	 * Lists the targets whose groups are running, as far as is known. While one of several groups has stopped, the others
+	 * take its share; when all have, single requests probe whether they run again. Undefined when no request may be sent.
 	 */
 	private listRunning(service: string, now: number): readonly Target[] | undefined {
-		const {book, gate} = this.options;
-		const registered = book.listOpen(service, now);
+		const {tracker, gate} = this.options;
+		const registered = tracker.listAvailable(service, now);
 		const units = [...new Set(registered.map(target => getFailureDomain(target)))];
 		const running = units.filter(unit => !gate.isAvoided(unit, now));
 		if (units.length > 1 && running.length > 0) {
--- a/src/target/request-controller.ts
+++ b/src/target/request-controller.ts
@@ -78,7 +78,7 @@
 
 	/** Refuses requests that have waited past their deadline, and ends those without a reader. To be called at short intervals. */
 	tick(now: number): void {
-		for (const {id} of this.options.queue.dropLate(now)) {
+		for (const {id} of this.options.queue.removeExpired(now)) {
 			this.refuseWaiting(id, 'late', now);
 		}
 
