--- a/features/steps/admission-steps.ts
+++ b/features/steps/admission-steps.ts
@@ -15,7 +15,7 @@
 import {StreamAdmission} from '../../src/forward/stream-admission.js';
 import {type LoadResult} from '../../src/model/load-result.js';
 import {LoadScenario} from '../../src/model/load-scenario.js';
-import {playLoad} from '../../src/model/play-load.js';
+import {simulateLoad} from '../../src/model/simulate-load.js';
 import {policies} from '../../src/model/policies.js';
 import {runCommand} from '../support/run-command.js';
 import {type SystemWorld} from '../support/system-world.js';
@@ -61,7 +61,7 @@
 
 When('it is played with {int} seeds', function (this: SystemWorld, seeds: number) {
 	const scenario = this.notes.get('scenario') as LoadScenario;
-	const play = (policy: typeof policies.none): LoadResult[] => Array.from({length: seeds}, (_seed, index) => playLoad(scenario, index + 1, policy));
+	const play = (policy: typeof policies.none): LoadResult[] => Array.from({length: seeds}, (_seed, index) => simulateLoad(scenario, index + 1, policy));
 	this.notes.set('played', {with: play(policies.pauses), without: play(policies.none)});
 });
 
--- a/features/steps/table-controller-steps.ts
+++ b/features/steps/table-controller-steps.ts
@@ -8,10 +8,10 @@
 import {makeSnapshot} from '../support/make-snapshot.js';
 import {type SystemWorld} from '../support/system-world.js';
 
-const unreachableKeyValue = undefined as unknown as KeyValue;
+const unusedKeyValue = undefined as unknown as KeyValue;
 
 /* A platform in memory whose head the scenario sets; pages are there for every version. */
-const makeWatchedPlatform = (world: SystemWorld): KeyValue => {
+const createWatchedPlatform = (world: SystemWorld): KeyValue => {
 	const pages = encodePages([]);
 	const platform = {
 		get: async (key: string) => ok(key === tableKeys.head ? undefined : {key, value: pages[0].text, revision: 1}),
@@ -28,7 +28,7 @@
 	const installed: number[] = [];
 	const reports: string[] = [];
 	const controller = new TableController({
-		keyValue: makeWatchedPlatform(this), random: () => 0, log: message => reports.push(message), onInstall: ({version}) => installed.push(version),
+		keyValue: createWatchedPlatform(this), random: () => 0, log: message => reports.push(message), onInstall: ({version}) => installed.push(version),
 	});
 	controller.setWatcher(true, 0);
 	controller.tick(0);
@@ -59,10 +59,10 @@
 Given('a table controller at version {int}', function (this: SystemWorld, version: number) {
 	const reports: string[] = [];
 	const controller = new TableController({
-		keyValue: unreachableKeyValue, random: () => 0, log: message => reports.push(message), onInstall: () => undefined,
+		keyValue: unusedKeyValue, random: () => 0, log: message => reports.push(message), onInstall: () => undefined,
 	});
 	const {head, pages} = makeSnapshot([], version, 'ours');
-	controller.takeOffer({type: 'table-offered', head: JSON.stringify(head), pages: [...pages.values()]});
+	controller.applyOffer({type: 'table-offered', head: JSON.stringify(head), pages: [...pages.values()]});
 	assert.equal(controller.version, version);
 	this.notes.set('controller', controller);
 	this.notes.set('reports', reports);
@@ -70,7 +70,7 @@
 
 When('a peer offers version {int}', function (this: SystemWorld, version: number) {
 	const {head, pages} = makeSnapshot([], version, 'older');
-	(this.notes.get('controller') as TableController).takeOffer({type: 'table-offered', head: JSON.stringify(head), pages: [...pages.values()]});
+	(this.notes.get('controller') as TableController).applyOffer({type: 'table-offered', head: JSON.stringify(head), pages: [...pages.values()]});
 });
 
 When('a peer says that it holds version {int} of another change', function (this: SystemWorld, version: number) {
--- a/features/steps/table-steps.ts
+++ b/features/steps/table-steps.ts
@@ -17,10 +17,10 @@
 const folder = mkdtempSync(path.join(tmpdir(), 'wardswitch-features-'));
 const file = path.join(folder, 'table.csv');
 
-const getAddresses = (world: SystemWorld): string[] => ['--platform', world.system.platform.url, '--vm-list', world.system.vmList.url];
+const getConnectionOptions = (world: SystemWorld): string[] => ['--platform', world.system.platform.url, '--vm-list', world.system.vmList.url];
 
 const exportTable = async (world: SystemWorld): Promise<string> => {
-	const {stdout} = await runCommand(['table', 'get', ...getAddresses(world)]);
+	const {stdout} = await runCommand(['table', 'get', ...getConnectionOptions(world)]);
 	return stdout;
 };
 
@@ -28,9 +28,9 @@
 	.map(line => line.startsWith(`*,${organisation},`) ? line.replace(/^(?<key>[^,]*,[^,]*,[^,]*),[^,]*/v, `$<key>,${weight}`) : line)
 	.join('\n');
 
-const apply = async (world: SystemWorld, csv: string): Promise<void> => {
+const applyTable = async (world: SystemWorld, csv: string): Promise<void> => {
 	writeFileSync(file, csv);
-	world.notes.set('outcome', await runCommand(['table', 'apply', file, '--change', 'the-change', ...getAddresses(world)]));
+	world.notes.set('outcome', await runCommand(['table', 'apply', file, '--change', 'the-change', ...getConnectionOptions(world)]));
 };
 
 const getOutcome = (world: SystemWorld): Outcome => world.notes.get('outcome') as Outcome;
@@ -38,16 +38,16 @@
 const findWeight = (table: TableSnapshot | undefined, organisation: string): number | undefined => table?.findRow('any', organisation, 'any')?.weight;
 
 When('an operator sets the weight of {string} to {int}', async function (this: SystemWorld, organisation: string, weight: number) {
-	await apply(this, setWeight(await exportTable(this), organisation, weight));
+	await applyTable(this, setWeight(await exportTable(this), organisation, weight));
 });
 
 When('an operator sets the weight of {string} to {int} from a file', async function (this: SystemWorld, organisation: string, weight: number) {
-	await apply(this, setWeight(tokens.table, organisation, weight));
+	await applyTable(this, setWeight(tokens.table, organisation, weight));
 });
 
 When('an operator removes {string} from the table', async function (this: SystemWorld, organisation: string) {
 	const csv = await exportTable(this);
-	await apply(this, csv.split('\n').filter(line => !line.startsWith(`*,${organisation},`)).join('\n'));
+	await applyTable(this, csv.split('\n').filter(line => !line.startsWith(`*,${organisation},`)).join('\n'));
 });
 
 Given('two operators have exported the table', async function (this: SystemWorld) {
@@ -56,20 +56,20 @@
 
 When(/^the (?:first|second) operator sets the weight of "([^"]+)" to (\d+)$/, async function (this: SystemWorld, organisation: string, weight: string) { // eslint-disable-line require-unicode-regexp
 	writeFileSync(file, setWeight(this.notes.get('exported') as string, organisation, Number(weight)));
-	this.notes.set('outcome', await runCommand(['table', 'apply', file, ...getAddresses(this)]));
+	this.notes.set('outcome', await runCommand(['table', 'apply', file, ...getConnectionOptions(this)]));
 });
 
 When('an operator applies this table:', async function (this: SystemWorld, csv: string) {
-	await apply(this, csv);
+	await applyTable(this, csv);
 });
 
 When('an operator applies a table based on the restored platform', async function (this: SystemWorld) {
 	writeFileSync(file, setWeight(await exportTable(this), 'marble', 9));
-	this.notes.set('outcome', await runCommand(['table', 'apply', file, ...getAddresses(this)]));
+	this.notes.set('outcome', await runCommand(['table', 'apply', file, ...getConnectionOptions(this)]));
 });
 
 When('an operator restores the table', async function (this: SystemWorld) {
-	this.notes.set('outcome', await runCommand(['table', 'restore', ...getAddresses(this)]));
+	this.notes.set('outcome', await runCommand(['table', 'restore', ...getConnectionOptions(this)]));
 });
 
 Then('the command says {string} and exits with {int}', function (this: SystemWorld, text: string, code: number) {
@@ -85,7 +85,7 @@
 });
 
 Then('asking for that change says {string} and exits with {int}', async function (this: SystemWorld, text: string, code: number) {
-	const outcome = await runCommand(['table', 'status', 'the-change', ...getAddresses(this)]);
+	const outcome = await runCommand(['table', 'status', 'the-change', ...getConnectionOptions(this)]);
 	assert.ok(outcome.stdout.includes(text), outcome.stdout + outcome.stderr);
 	assert.equal(outcome.code, code);
 });
--- a/src/cli/commands/explain.ts
+++ b/src/cli/commands/explain.ts
@@ -21,8 +21,8 @@
 	id = Option.String();
 
 	async execute(): Promise<number> {
-		for (const entry of await this.findEntries()) {
-			const parsed = explanation.safeParse(await this.readPage(entry, `explain/${encodeURIComponent(this.id)}`));
+		for (const entry of await this.findEntryUrls()) {
+			const parsed = explanation.safeParse(await this.fetchAdminPage(entry, `explain/${encodeURIComponent(this.id)}`));
 			if (parsed.success) {
 				const {service, organisation, at, tookMs, outcome, tableVersion, decisions} = parsed.data;
 				this.print(parsed.data, [
@@ -33,7 +33,7 @@
 			}
 		}
 
-		this.complain(['no entry knows that request any more; each keeps its last 1000']);
+		this.printErrors(['no entry knows that request any more; each keeps its last 1000']);
 		return exitCode.refused;
 	}
 }
--- a/src/cli/commands/lab.ts
+++ b/src/cli/commands/lab.ts
@@ -4,13 +4,13 @@
 import {z} from 'zod';
 import {type LoadResult} from '../../model/load-result.js';
 import {LoadScenario} from '../../model/load-scenario.js';
-import {playLoad} from '../../model/play-load.js';
+import {simulateLoad} from '../../model/simulate-load.js';
 import {policies} from '../../model/policies.js';
 import {exitCode} from '../exit-code.js';
 
 const count = z.coerce.number('expected a whole number').int('expected a whole number').min(1, 'expected 1 or more');
 
-type Row = Readonly<Record<keyof LoadResult, number>> & {readonly policy: string};
+type PolicyResult = Readonly<Record<keyof LoadResult, number>> & {readonly policy: string};
 
 /** `lab SCENARIO` */
 export class Lab extends Command {
@@ -27,16 +27,16 @@
 	async execute(): Promise<number> {
 		const seeds = count.safeParse(this.seeds);
 		if (!seeds.success) {
-			return this.refuse(`--seeds: ${seeds.error.issues[0].message}`);
+			return this.fail(`--seeds: ${seeds.error.issues[0].message}`);
 		}
 
-		const scenario = this.read();
+		const scenario = this.readScenario();
 		if (typeof scenario === 'string') {
-			return this.refuse(scenario);
+			return this.fail(scenario);
 		}
 
 		for (const [policy, decide] of Object.entries(policies)) {
-			const results = Array.from({length: seeds.data}, (_seed, index) => playLoad(scenario, index + 1, decide));
+			const results = Array.from({length: seeds.data}, (_seed, index) => simulateLoad(scenario, index + 1, decide));
 			this.print({policy, ...average(results)});
 		}
 
@@ -44,7 +44,7 @@
 	}
 
 	/* The scenario, or what is wrong with its file. */
-	private read(): LoadScenario | string {
+	private readScenario(): LoadScenario | string {
 		try {
 			const result = LoadScenario.safeParse(parse(readFileSync(this.scenarioPath, 'utf8')));
 			if (result.success) {
@@ -58,12 +58,12 @@
 		}
 	}
 
-	private refuse(message: string): number {
+	private fail(message: string): number {
 		this.context.stderr.write(`${message}\n`);
 		return exitCode.usage;
 	}
 
-	private print(row: Row): void {
+	private print(row: PolicyResult): void {
 		const {policy, asked, onTime, late, refused, worth} = row;
 		this.context.stdout.write(this.isJson
 			? `${JSON.stringify(row)}\n`
--- a/src/cli/commands/log.ts
+++ b/src/cli/commands/log.ts
@@ -20,17 +20,17 @@
 	words = Option.Rest();
 	file = Option.String('--file', {description: 'log of one or more processes; standard input by default'});
 	part = Option.String('--part', {description: 'part that speaks, such as view, fleet, request, rank'});
-	context_ = Option.String('--context', '0', {description: 'milliseconds before each line found in which what the process came to believe is shown as well'});
+	contextOption = Option.String('--context', '0', {description: 'milliseconds before each line found in which what the process came to believe is shown as well'});
 	isJson = Option.Boolean('--json', false, {description: 'print JSON Lines'});
 
 	async execute(): Promise<number> {
-		const contextMs = milliseconds.safeParse(this.context_);
+		const contextMs = milliseconds.safeParse(this.contextOption);
 		if (!contextMs.success) {
 			this.context.stderr.write(`--context: ${contextMs.error.issues[0].message}\n`);
 			return exitCode.refused;
 		}
 
-		const lines = await this.read();
+		const lines = await this.readLines();
 		const selected = selectLines(lines, {words: this.words, part: this.part, contextMs: contextMs.data});
 		for (const line of selected) {
 			this.context.stdout.write(`${this.isJson ? JSON.stringify(line) : this.format(line)}\n`);
@@ -44,7 +44,7 @@
 		return exitCode.ok;
 	}
 
-	private async read(): Promise<LogLine[]> {
+	private async readLines(): Promise<LogLine[]> {
 		const input = this.file === undefined ? this.context.stdin : createReadStream(this.file);
 		const lines: LogLine[] = [];
 		for await (const text of createInterface({input, crlfDelay: Number.POSITIVE_INFINITY})) {
--- a/src/cli/commands/map-replay.ts
+++ b/src/cli/commands/map-replay.ts
@@ -43,19 +43,19 @@
 			'--ranks': this.ranks, '--slots': this.slots, '--policy': this.policy, '--skew-weight': this.skewWeight, '--move-weight': this.moveWeight,
 		});
 		if (!parsed.success) {
-			return this.refuse(parsed.error.issues.map(issue => `${issue.path.join('.')}: ${issue.message}`));
+			return this.fail(parsed.error.issues.map(issue => `${issue.path.join('.')}: ${issue.message}`));
 		}
 
 		let text: string;
 		try {
 			text = readFileSync(this.file, 'utf8');
 		} catch (error) {
-			return this.refuse([(error as Error).message]);
+			return this.fail([(error as Error).message]);
 		}
 
 		const trace = parseTrace(text);
 		if (trace.isErr()) {
-			return this.refuse([`${this.file}: ${trace.error.message}`]);
+			return this.fail([`${this.file}: ${trace.error.message}`]);
 		}
 
 		const [{loads}] = trace.value;
@@ -63,7 +63,7 @@
 			layers: loads.length, experts: loads[0].length, ranks: parsed.data['--ranks'], slots: parsed.data['--slots'],
 		});
 		if (shape.isErr()) {
-			return this.refuse([shape.error.message]);
+			return this.fail([shape.error.message]);
 		}
 
 		const weights = {skew: parsed.data['--skew-weight'], move: parsed.data['--move-weight']};
@@ -96,7 +96,7 @@
 		this.context.stdout.write(`${this.isJson ? JSON.stringify(summary) : lines.join('\n')}\n`);
 	}
 
-	private refuse(problems: readonly string[]): number {
+	private fail(problems: readonly string[]): number {
 		this.context.stderr.write(`${problems.join('\n')}\n`);
 		return exitCode.refused;
 	}
--- a/src/cli/commands/status.ts
+++ b/src/cli/commands/status.ts
@@ -21,8 +21,8 @@
 	static override usage = Command.Usage({description: 'show each entry: table, platform, peers, targets, and how old each fact is'});
 
 	async execute(): Promise<number> {
-		const entries = await this.findEntries();
-		const pages = await Promise.all(entries.map(async entry => ({entry, page: entryStatus.safeParse(await this.readPage(entry, 'status'))})));
+		const entries = await this.findEntryUrls();
+		const pages = await Promise.all(entries.map(async entry => ({entry, page: entryStatus.safeParse(await this.fetchAdminPage(entry, 'status'))})));
 		const lines = pages.flatMap(({entry, page}) => page.success ? describe(page.data) : [`${entry}: cannot be reached`]);
 		this.print(pages.map(({entry, page}) => ({entry, status: page.data})), lines);
 		return pages.some(({page}) => page.success) ? exitCode.ok : exitCode.unavailable;
--- a/src/cli/commands/table-apply.ts
+++ b/src/cli/commands/table-apply.ts
@@ -14,9 +14,9 @@
 import {OperatorCommand} from '../operator-command.js';
 import {readTableFile} from '../read-table-file.js';
 
-const status = z.object({id: z.string(), availabilityZone: z.string(), table: z.object({version: z.number()})});
-const pollMs = 250;
-const waitMs = 30_000;
+const entryVersion = z.object({id: z.string(), availabilityZone: z.string(), table: z.object({version: z.number()})});
+const pollIntervalMs = 250;
+const maximumWaitMs = 30_000;
 
 /** `table apply FILE` */
 export class TableApply extends OperatorCommand {
@@ -30,17 +30,17 @@
 	async execute(): Promise<number> {
 		const table = readTableFile(this.file);
 		if (table.isErr()) {
-			this.complain(table.error);
+			this.printErrors(table.error);
 			return exitCode.refused;
 		}
 
-		return this.isDryRun ? this.showChange(table.value) : this.apply(table.value);
+		return this.isDryRun ? this.showDifferences(table.value) : this.apply(table.value);
 	}
 
-	private async showChange(table: ParsedTable): Promise<number> {
+	private async showDifferences(table: ParsedTable): Promise<number> {
 		const stored = await fetchTable(this.openKeyValue());
 		if (stored.isErr()) {
-			this.complain([stored.error.message]);
+			this.printErrors([stored.error.message]);
 			return exitCode.unavailable;
 		}
 
@@ -51,35 +51,35 @@
 
 	private async apply(table: ParsedTable): Promise<number> {
 		const changeId = this.changeId ?? randomUUID();
-		const versions = await this.readVersions();
+		const versions = await this.fetchEntryVersions();
 		const knownVersion = Math.max(0, ...versions.map(({table: {version}}) => version));
 		const applied = await applyTable(this.openKeyValue(), table, {
 			changeId, operator: userInfo().username, now: readClock(), knownVersion,
 		});
 		if (applied.isErr()) {
-			return this.explainError(applied.error, changeId);
+			return this.reportError(applied.error, changeId);
 		}
 
 		this.print({outcome: 'accepted', version: applied.value, changeId}, [`accepted as version ${applied.value}, change ${changeId}`]);
 		return this.isWaiting ? this.waitUntilInForce(applied.value) : exitCode.ok;
 	}
 
-	private explainError(error: TableError, changeId: string): number {
+	private reportError(error: TableError, changeId: string): number {
 		if (error.kind === 'unknown') {
-			this.complain([`unknown: ${error.message}; ask "table status ${changeId}", or apply again with --change ${changeId}`]);
+			this.printErrors([`unknown: ${error.message}; ask "table status ${changeId}", or apply again with --change ${changeId}`]);
 			return exitCode.unknown;
 		}
 
 		const conflicts = error.conflicts.flatMap(({key, mine, theirs}) => [key, `  yours:  ${describeRow(mine)}`, `  theirs: ${describeRow(theirs)}`]);
-		this.complain([`refused: ${error.message}`, ...conflicts]);
+		this.printErrors([`refused: ${error.message}`, ...conflicts]);
 		return error.kind === 'unavailable' ? exitCode.unavailable : exitCode.refused;
 	}
 
-	private async readVersions(): Promise<Array<z.infer<typeof status>>> {
+	private async fetchEntryVersions(): Promise<Array<z.infer<typeof entryVersion>>> {
 		try {
-			const entries = await this.findEntries();
-			const pages = await Promise.all(entries.map(async entry => this.readPage(entry, 'status')));
-			return pages.map(page => status.safeParse(page)).filter(({success}) => success).map(({data}) => data!);
+			const entries = await this.findEntryUrls();
+			const pages = await Promise.all(entries.map(async entry => this.fetchAdminPage(entry, 'status')));
+			return pages.map(page => entryVersion.safeParse(page)).filter(({success}) => success).map(({data}) => data!);
 		} catch {
 			return [];
 		}
@@ -87,8 +87,8 @@
 
 	private async waitUntilInForce(version: number): Promise<number> {
 		const shown = new Set<string>();
-		for (let waitedMs = 0; waitedMs < waitMs; waitedMs += pollMs) {
-			const versions = await this.readVersions();
+		for (let waitedMs = 0; waitedMs < maximumWaitMs; waitedMs += pollIntervalMs) {
+			const versions = await this.fetchEntryVersions();
 			const zones = [...new Set(versions.map(({availabilityZone}) => availabilityZone))];
 			const ready = zones.filter(zone => versions.every(one => one.availabilityZone !== zone || one.table.version >= version));
 			for (const zone of ready.filter(name => !shown.has(name))) {
@@ -100,10 +100,10 @@
 				return exitCode.ok;
 			}
 
-			await delay(pollMs);
+			await delay(pollIntervalMs);
 		}
 
-		this.complain([`not yet in force everywhere after ${waitMs / 1000} s; see "status"`]);
+		this.printErrors([`not yet in force everywhere after ${maximumWaitMs / 1000} s; see "status"`]);
 		return exitCode.unknown;
 	}
 }
--- a/src/cli/commands/table-check.ts
+++ b/src/cli/commands/table-check.ts
@@ -12,7 +12,7 @@
 	async execute(): Promise<number> {
 		const table = readTableFile(this.file);
 		if (table.isErr()) {
-			this.complain(table.error);
+			this.printErrors(table.error);
 			return exitCode.refused;
 		}
 
--- a/src/cli/commands/table-diff.ts
+++ b/src/cli/commands/table-diff.ts
@@ -15,13 +15,13 @@
 	async execute(): Promise<number> {
 		const table = readTableFile(this.file);
 		if (table.isErr()) {
-			this.complain(table.error);
+			this.printErrors(table.error);
 			return exitCode.refused;
 		}
 
 		const stored = await fetchTable(this.openKeyValue());
 		if (stored.isErr()) {
-			this.complain([stored.error.message]);
+			this.printErrors([stored.error.message]);
 			return exitCode.unavailable;
 		}
 
--- a/src/cli/commands/table-history.ts
+++ b/src/cli/commands/table-history.ts
@@ -12,7 +12,7 @@
 	async execute(): Promise<number> {
 		const stored = await this.openKeyValue().list(tableKeys.historyPrefix);
 		if (stored.isErr()) {
-			this.complain([stored.error.message]);
+			this.printErrors([stored.error.message]);
 			return exitCode.unavailable;
 		}
 
--- a/src/cli/commands/table-restore.ts
+++ b/src/cli/commands/table-restore.ts
@@ -18,16 +18,16 @@
 	static override usage = Command.Usage({description: 'bring a platform that lost newer changes up to the table in force at the entries'});
 
 	async execute(): Promise<number> {
-		const newest = await this.findNewest();
+		const newest = await this.fetchNewestTable();
 		const stored = await fetchTable(this.openKeyValue());
 		if (!newest || stored.isErr()) {
-			this.complain([stored.isErr() ? stored.error.message : 'no entry with a table can be reached']);
+			this.printErrors([stored.isErr() ? stored.error.message : 'no entry with a table can be reached']);
 			return exitCode.unavailable;
 		}
 
 		const version = stored.value.snapshot?.version ?? 0;
 		if (version >= newest.head.version) {
-			this.complain([`nothing to restore: the platform holds version ${version}, the entries ${newest.head.version}`]);
+			this.printErrors([`nothing to restore: the platform holds version ${version}, the entries ${newest.head.version}`]);
 			return exitCode.refused;
 		}
 
@@ -35,7 +35,7 @@
 			changeId: randomUUID(), operator: userInfo().username, now: readClock(), knownVersion: newest.head.version,
 		});
 		if (restored.isErr()) {
-			this.complain([restored.error.message]);
+			this.printErrors([restored.error.message]);
 			return restored.error.kind === 'unknown' ? exitCode.unknown : exitCode.refused;
 		}
 
@@ -43,9 +43,9 @@
 		return exitCode.ok;
 	}
 
-	private async findNewest(): Promise<z.infer<typeof tableInForce> | undefined> {
-		const entries = await this.findEntries();
-		const pages = await Promise.all(entries.map(async entry => tableInForce.safeParse(await this.readPage(entry, 'table'))));
+	private async fetchNewestTable(): Promise<z.infer<typeof tableInForce> | undefined> {
+		const entries = await this.findEntryUrls();
+		const pages = await Promise.all(entries.map(async entry => tableInForce.safeParse(await this.fetchAdminPage(entry, 'table'))));
 		return pages
 			.flatMap(({data}) => data ? [data] : [])
 			.toSorted((one, other) => other.head.version - one.head.version)
--- a/src/cli/commands/table-status.ts
+++ b/src/cli/commands/table-status.ts
@@ -12,7 +12,7 @@
 	async execute(): Promise<number> {
 		const stored = await fetchTable(this.openKeyValue());
 		if (stored.isErr()) {
-			this.complain([stored.error.message]);
+			this.printErrors([stored.error.message]);
 			return exitCode.unavailable;
 		}
 
--- a/src/cli/commands/target-list.ts
+++ b/src/cli/commands/target-list.ts
@@ -13,9 +13,9 @@
 	static override usage = Command.Usage({description: 'list the targets: what the platform lists, and what each says of itself'});
 
 	async execute(): Promise<number> {
-		const vms = await this.listVms();
+		const vms = await this.fetchVms();
 		const listed = vms.filter(({role}) => role === 'target');
-		const targets = await Promise.all(listed.map(async vm => ({vm, status: await readStatus(`http://${vm.address}:${vm.adminPort}/status`)})));
+		const targets = await Promise.all(listed.map(async vm => ({vm, status: await fetchStatus(`http://${vm.address}:${vm.adminPort}/status`)})));
 		this.print(targets, targets.map(({vm, status}) => {
 			const own = status ? `${status.state}, ${status.load.running} running, ${status.load.waiting} waiting` : 'does not answer';
 			return `${vm.id}  ${vm.service ?? ''}  ${vm.availabilityZone}  listed ${vm.state}, ${own}`;
@@ -24,7 +24,7 @@
 	}
 }
 
-async function readStatus(url: string): Promise<z.infer<typeof targetStatus> | undefined> {
+async function fetchStatus(url: string): Promise<z.infer<typeof targetStatus> | undefined> {
 	try {
 		const answer = await request(url, {headersTimeout: timeoutMs, bodyTimeout: timeoutMs});
 		return targetStatus.parse(await answer.body.json());
--- a/src/cli/commands/target-order.ts
+++ b/src/cli/commands/target-order.ts
@@ -22,22 +22,22 @@
 			throw new UsageError('expected --key-file FILE, or linkKey in the settings');
 		}
 
-		const vms = await this.listVms();
+		const vms = await this.fetchVms();
 		const vm = vms.find(({id, role}) => id === this.id && role === 'target');
 		if (!vm) {
-			this.complain([`no target is listed as "${this.id}"; see "target list"`]);
+			this.printErrors([`no target is listed as "${this.id}"; see "target list"`]);
 			return exitCode.refused;
 		}
 
 		const type = this.path[1] === 'stop' ? 'stop' : 'start';
-		const isLeaving = await sendOrder(vm.address, vm.linkPort, key, type);
+		const isLeaving = await sendStateChange(vm.address, vm.linkPort, key, type);
 		this.print({id: this.id, leaving: isLeaving}, [`${this.id} ${isLeaving ? 'takes nothing new and ends what runs' : 'serves'}`]);
 		return exitCode.ok;
 	}
 }
 
 /* The target answers a change of its state on every link; an order that changes nothing is seen in its welcome. */
-async function sendOrder(address: string, port: number, key: string, type: 'stop' | 'start'): Promise<boolean> {
+async function sendStateChange(address: string, port: number, key: string, type: 'stop' | 'start'): Promise<boolean> {
 	const connection = await connectLink({
 		address, port, key, timeoutMs, maximumFrameBytes, meter: () => undefined,
 	});
--- a/src/cli/describe-row.ts
+++ b/src/cli/describe-row.ts
@@ -2,7 +2,7 @@
 import {tableColumns} from '../table/table-columns.js';
 
 /** Digits of a token's hash that tell it from others. */
-const digits = 8;
+const tokenHashDigits = 8;
 
 /** One line with all that a row says; a row that is not there is said to be absent. */
 export function describeRow(row: Row | undefined): string {
@@ -10,7 +10,7 @@
 		return '(absent)';
 	}
 
-	const named = {...row, tokenHashes: row.tokenHashes.map(hash => hash.slice(0, digits)).join('+')};
+	const named = {...row, tokenHashes: row.tokenHashes.map(hash => hash.slice(0, tokenHashDigits)).join('+')};
 	return tableColumns
 		.filter(({field}) => named[field] !== undefined && named[field] !== '')
 		.map(({heading, field}) => `${heading}=${named[field]}`)
--- a/src/cli/operator-command.ts
+++ b/src/cli/operator-command.ts
@@ -8,12 +8,12 @@
 import {type Vm} from '../vm-list/vm.js';
 import {OperatorSettings} from './operator-settings.js';
 
-const defaultFile = 'wardswitch.toml';
+const defaultSettingsFile = 'wardswitch.toml';
 const timeoutMs = 5000;
 
 /** What every command of an operator shares: settings, the platform, entries, and output for people or programs. */
 export abstract class OperatorCommand extends Command {
-	settingsFile = Option.String('--settings', {description: `settings file; ${defaultFile} by default`});
+	settingsFile = Option.String('--settings', {description: `settings file; ${defaultSettingsFile} by default`});
 	platformUrl = Option.String('--platform', {description: 'base URL of the key-value service'});
 	vmListUrl = Option.String('--vm-list', {description: 'URL of the list of VMs'});
 	entryUrls = Option.Array('--entry', {description: 'admin URL of an entry; may be repeated'});
@@ -35,7 +35,7 @@
 		return createEtcdKeyValue({url, timeoutMs, onCall: () => undefined});
 	}
 
-	protected async listVms(): Promise<readonly Vm[]> {
+	protected async fetchVms(): Promise<readonly Vm[]> {
 		const url = this.vmListUrl ?? this.getSettings().platform.vmList;
 		if (url === undefined) {
 			throw new UsageError('expected --vm-list URL, or platform.vmList in the settings');
@@ -50,18 +50,18 @@
 	}
 
 	/** Admin URLs of entries: those given, or all that the list of VMs names. */
-	protected async findEntries(): Promise<string[]> {
+	protected async findEntryUrls(): Promise<string[]> {
 		const given = this.entryUrls ?? this.getSettings().entries;
 		if (given.length > 0) {
 			return given;
 		}
 
-		const vms = await this.listVms();
+		const vms = await this.fetchVms();
 		return vms.filter(vm => vm.role === 'entry' && vm.adminPort !== undefined).map(vm => `http://${vm.address}:${vm.adminPort}`);
 	}
 
 	/** Reads a page of an entry's admin server; undefined when it cannot be reached or knows nothing. */
-	protected async readPage(entry: string, page: string): Promise<unknown> {
+	protected async fetchAdminPage(entry: string, page: string): Promise<unknown> {
 		try {
 			const answer = await request(`${entry}/${page}`, {headersTimeout: timeoutMs, bodyTimeout: timeoutMs});
 			const document = await answer.body.json();
@@ -77,16 +77,16 @@
 		this.context.stdout.write(`${text}\n`);
 	}
 
-	protected complain(lines: readonly string[]): void {
+	protected printErrors(lines: readonly string[]): void {
 		this.context.stderr.write(`${lines.join('\n')}\n`);
 	}
 
 	private loadSettings(): OperatorSettings {
-		if (this.settingsFile === undefined && !existsSync(defaultFile)) {
+		if (this.settingsFile === undefined && !existsSync(defaultSettingsFile)) {
 			return OperatorSettings.parse({});
 		}
 
-		const settings = readSettings(this.settingsFile ?? defaultFile, OperatorSettings);
+		const settings = readSettings(this.settingsFile ?? defaultSettingsFile, OperatorSettings);
 		if (settings.isErr()) {
 			throw new UsageError(settings.error.message);
 		}
--- a/src/entry/entry-controller.ts
+++ b/src/entry/entry-controller.ts
@@ -134,7 +134,7 @@
 			}
 
 			case 'table-wanted': {
-				const offered = table.offer(message);
+				const offered = table.createOffer(message);
 				if (offered) {
 					send(offered);
 				}
@@ -143,7 +143,7 @@
 			}
 
 			case 'table-offered': {
-				table.takeOffer(message);
+				table.applyOffer(message);
 				break;
 			}
 
@@ -172,8 +172,8 @@
 			table: {
 				version: table.version,
 				changeId: table.changeId,
-				platformAgeMs: table.platformAt === 0 ? undefined : now - table.platformAt,
-				trouble: table.trouble,
+				platformAgeMs: table.platformReadAt === 0 ? undefined : now - table.platformReadAt,
+				trouble: table.divergence,
 				isWatcher: this.isWatcher(now),
 			},
 			list: {vms: this.list?.vms.length ?? 0, ageMs: this.listAt === 0 ? undefined : now - this.listAt},
--- a/src/model/lock-step-group.ts
+++ b/src/model/lock-step-group.ts
@@ -1,9 +1,9 @@
 import {type LoadScenario} from './load-scenario.js';
-import {type ModelStream} from './model-stream.js';
+import {type SimulatedStream} from './simulated-stream.js';
 
 /** A group of ranks that takes every pass together, as long as its slowest rank takes. Pure: time is what it is told. */
 export class LockStepGroup {
-	private readonly ranks: ModelStream[][];
+	private readonly ranks: SimulatedStream[][];
 
 	constructor(private readonly scenario: LoadScenario) {
 		this.ranks = Array.from({length: scenario.targets}, () => []);
@@ -20,7 +20,7 @@
 	}
 
 	/** Hands a stream to the rank with the fewest. */
-	take(stream: ModelStream): void {
+	assign(stream: SimulatedStream): void {
 		const least = Math.min(...this.ranks.map(rank => rank.length));
 		this.ranks.find(rank => rank.length === least)!.push(stream);
 	}
@@ -29,12 +29,12 @@
 	 * Length of the next pass if it begins now, milliseconds: the slowest rank's own part, and for the part that goes to
 	 * experts, wherever the requests are, that of the rank whose experts are chosen most.
 	 */
-	measurePass(now: number): number {
+	getPassDuration(now: number): number {
 		const {targets, expertShare} = this.scenario;
 		let slowestMs = 0;
 		let sumMs = 0;
 		for (const rank of this.ranks) {
-			const rankMs = this.measureRank(rank);
+			const rankMs = this.getRankDuration(rank);
 			slowestMs = Math.max(slowestMs, rankMs);
 			sumMs += rankMs;
 		}
@@ -43,29 +43,29 @@
 	}
 
 	/** Ends a pass: every running stream has one more event; gives those that are whole. */
-	endPass(now: number): ModelStream[] {
-		const whole: ModelStream[] = [];
+	endPass(now: number): SimulatedStream[] {
+		const whole: SimulatedStream[] = [];
 		for (const [index, rank] of this.ranks.entries()) {
 			for (const stream of rank.slice(0, this.scenario.slots)) {
-				stream.isRead = true;
+				stream.isPrefilled = true;
 				stream.eventTimes.push(now);
-				if (stream.eventTimes.length >= stream.events) {
+				if (stream.eventTimes.length >= stream.eventCount) {
 					whole.push(stream);
 				}
 			}
 
-			this.ranks[index] = rank.filter(({eventTimes, events}) => eventTimes.length < events);
+			this.ranks[index] = rank.filter(({eventTimes, eventCount}) => eventTimes.length < eventCount);
 		}
 
 		return whole;
 	}
 
-	private measureRank(rank: readonly ModelStream[]): number {
+	private getRankDuration(rank: readonly SimulatedStream[]): number {
 		const {pace: {stepMs, requestMs, stepsPerEvent}, slots, tokensPerMs} = this.scenario;
 		const running = rank.slice(0, slots);
 		let unread = 0;
-		for (const {isRead, promptTokens} of running) {
-			unread += isRead ? 0 : promptTokens;
+		for (const {isPrefilled, promptTokens} of running) {
+			unread += isPrefilled ? 0 : promptTokens;
 		}
 
 		return (stepsPerEvent * (stepMs + (requestMs * running.length))) + (unread / tokensPerMs);
--- a/src/model/play-load.ts
+++ b/src/model/simulate-load.ts
@@ -5,25 +5,25 @@
 import {type LoadResult} from './load-result.js';
 import {type LoadScenario} from './load-scenario.js';
 import {LockStepGroup} from './lock-step-group.js';
-import {type ModelStream} from './model-stream.js';
+import {type SimulatedStream} from './simulated-stream.js';
 import {type policies} from './policies.js';
 
 type Policy = (typeof policies)[keyof typeof policies];
-type Arrival = {readonly at: number; readonly stream: ModelStream};
+type Arrival = {readonly at: number; readonly stream: SimulatedStream};
 
 /** Part of the return time by which callers are spread, as entries do after an overload. */
-const returnSpread = 0.6;
+const retrySpread = 0.6;
 /** Queued at a rank beyond its slots before it counts as full. */
-const queueLength = 2;
-const secondMs = 1000;
+const maximumQueuedPerRank = 2;
+const msPerSecond = 1000;
 
 /**
  * Plays streams against a group in lock step with a virtual clock; entries decide by the given policy.
  *
  * @param seed - the same seed gives the same callers, whatever the policy
  */
-export function playLoad(scenario: LoadScenario, seed: number, policy: Policy): LoadResult {
-	const arrivals = drawArrivals(scenario, seed);
+export function simulateLoad(scenario: LoadScenario, seed: number, policy: Policy): LoadResult {
+	const arrivals = generateArrivals(scenario, seed);
 	const generator = xoroshiro128plus(seed + 1_000_000);
 	const group = new LockStepGroup(scenario);
 	const forecasts = Array.from({length: scenario.entries}, () => new PauseForecast());
@@ -36,22 +36,22 @@
 	const offer = ({stream, at}: Arrival): void => {
 		const forecast = forecasts[Math.floor(uniformFloat64(generator) * scenario.entries)];
 		const inFlight = history.findLast(entry => entry.at <= at - scenario.reportMs)?.inFlight ?? 0;
-		const isFull = group.inFlight >= scenario.targets * (scenario.slots + queueLength);
+		const isFull = group.inFlight >= scenario.targets * (scenario.slots + maximumQueuedPerRank);
 		if (!isFull && policy({
-			forecast, scenario, inFlight, isReturn: stream.isReturn,
+			forecast, scenario, inFlight, isRetry: stream.isRetry,
 		})) {
-			group.take(stream);
+			group.assign(stream);
 			history.push({at, inFlight: group.inFlight});
-		} else if (stream.isReturn) {
+		} else if (stream.isRetry) {
 			counts.refused++;
 		} else {
-			const leftMs = scenario.deadlineMs - (at - stream.askedAt);
-			insert(arrivals, {at: at + chooseReturnTime(leftMs, returnSpread * uniformFloat64(generator), 0), stream: {...stream, isReturn: true}});
+			const leftMs = scenario.deadlineMs - (at - stream.firstAttemptAt);
+			insertArrival(arrivals, {at: at + chooseReturnTime(leftMs, retrySpread * uniformFloat64(generator), 0), stream: {...stream, isRetry: true}});
 		}
 	};
 
 	for (let now = 0; arrivals.length > 0 || group.inFlight > 0;) {
-		const passMs = group.inFlight > 0 ? group.measurePass(now) : Math.max(1, arrivals[0].at - now);
+		const passMs = group.inFlight > 0 ? group.getPassDuration(now) : Math.max(1, arrivals[0].at - now);
 		const load = group.inFlight / scenario.targets;
 		now += passMs;
 		if (load > 0) {
@@ -74,16 +74,16 @@
 	return {...counts, worth: (counts.onTime + (scenario.lateWorth * counts.late)) / counts.asked};
 }
 
-function drawArrivals(scenario: LoadScenario, seed: number): Arrival[] {
+function generateArrivals(scenario: LoadScenario, seed: number): Arrival[] {
 	const generator = xoroshiro128plus(seed);
 	const draw = (mean: number): number => -Math.log(1 - uniformFloat64(generator)) * mean;
 	const arrivals: Arrival[] = [];
-	const end = scenario.seconds * secondMs;
-	for (let at = draw(secondMs / scenario.streamsPerSecond); at < end; at += draw(secondMs / scenario.streamsPerSecond)) {
+	const end = scenario.seconds * msPerSecond;
+	for (let at = draw(msPerSecond / scenario.streamsPerSecond); at < end; at += draw(msPerSecond / scenario.streamsPerSecond)) {
 		arrivals.push({
 			at,
 			stream: {
-				askedAt: at, isReturn: false, promptTokens: draw(scenario.promptTokens), events: 1 + Math.floor(draw(scenario.events)), isRead: false, eventTimes: [],
+				firstAttemptAt: at, isRetry: false, promptTokens: draw(scenario.promptTokens), eventCount: 1 + Math.floor(draw(scenario.events)), isPrefilled: false, eventTimes: [],
 			},
 		});
 	}
@@ -91,12 +91,12 @@
 	return arrivals;
 }
 
-function insert(arrivals: Arrival[], arrival: Arrival): void {
+function insertArrival(arrivals: Arrival[], arrival: Arrival): void {
 	const index = arrivals.findIndex(({at}) => at > arrival.at);
 	arrivals.splice(index === -1 ? arrivals.length : index, 0, arrival);
 }
 
-function isOnTime({askedAt, isReturn, eventTimes}: ModelStream, {targetLatencyMs, targetGapMs}: LoadScenario): boolean {
+function isOnTime({firstAttemptAt: askedAt, isRetry: isReturn, eventTimes}: SimulatedStream, {targetLatencyMs, targetGapMs}: LoadScenario): boolean {
 	const isPrompt = !isReturn && eventTimes[0] - askedAt <= targetLatencyMs;
 	return isPrompt && eventTimes.every((at, index) => index === 0 || at - eventTimes[index - 1] <= targetGapMs);
 }
--- a/src/model/model-stream.ts
+++ b/src/model/simulated-stream.ts
@@ -1,12 +1,12 @@
 /** One try of a caller for a stream, in the model. */
-export type ModelStream = {
+export type SimulatedStream = {
 	/** When the caller first asked, milliseconds. */
-	readonly askedAt: number;
+	readonly firstAttemptAt: number;
 	/** Whether it was refused before. */
-	readonly isReturn: boolean;
+	readonly isRetry: boolean;
 	readonly promptTokens: number;
-	readonly events: number;
-	isRead: boolean;
+	readonly eventCount: number;
+	isPrefilled: boolean;
 	/** When each event was made, milliseconds. */
 	readonly eventTimes: number[];
 };
--- a/src/table/apply-table.ts
+++ b/src/table/apply-table.ts
@@ -4,7 +4,7 @@
 import {makeHead} from './make-head.js';
 import {mergeTables} from './merge-tables.js';
 import {type ParsedTable} from './parsed-table.js';
-import {readTable} from './read-table.js';
+import {fetchSnapshot} from './fetch-snapshot.js';
 import {type Row} from './row.js';
 import {type StoredTable} from './stored-table.js';
 import {type TableChange} from './table-change.js';
@@ -12,9 +12,9 @@
 import {tableKeys} from './table-keys.js';
 import {writePages} from './write-pages.js';
 
-const attempts = 5;
+const maximumAttempts = 5;
 
-const fetchBase = async (keyValue: KeyValue, basedOn: number, stored: StoredTable): Promise<Result<Row[], TableError>> => {
+const fetchBaseRows = async (keyValue: KeyValue, basedOn: number, stored: StoredTable): Promise<Result<Row[], TableError>> => {
 	if (basedOn === 0 || !stored.snapshot) {
 		return ok([]);
 	}
@@ -32,11 +32,11 @@
 		return err(new TableError('stale', `version ${basedOn} is no longer kept; export the table again and repeat the edit`));
 	}
 
-	const base = await readTable(keyValue, head.value.value, stored.snapshot.pages);
+	const base = await fetchSnapshot(keyValue, head.value.value, stored.snapshot.pages);
 	return base.map(({rows}) => rows);
 };
 
-const findAccepted = (stored: StoredTable, changeId: string): number | undefined =>
+const findAcceptedVersion = (stored: StoredTable, changeId: string): number | undefined =>
 	stored.snapshot?.head.recent.find(recent => recent.changeId === changeId)?.version;
 
 /**
@@ -49,17 +49,17 @@
  */
 export async function applyTable(keyValue: KeyValue, edited: ParsedTable, change: TableChange): Promise<Result<number, TableError>> {
 	let mayBeWritten = false;
-	for (let attempt = 0; attempt < attempts; attempt++) {
+	for (let attempt = 0; attempt < maximumAttempts; attempt++) {
 		const stored = await fetchTable(keyValue);
 		if (stored.isErr()) {
-			if (mayBeWritten && attempt < attempts - 1) {
+			if (mayBeWritten && attempt < maximumAttempts - 1) {
 				continue;
 			}
 
 			return err(mayBeWritten ? new TableError('unknown', stored.error.message) : stored.error);
 		}
 
-		const accepted = findAccepted(stored.value, change.changeId);
+		const accepted = findAcceptedVersion(stored.value, change.changeId);
 		if (accepted !== undefined) {
 			return ok(accepted);
 		}
@@ -82,7 +82,7 @@
 
 /* Gives the new version, or undefined when another change came first. */
 async function swapHead(keyValue: KeyValue, edited: ParsedTable, stored: StoredTable, change: TableChange): Promise<Result<number | undefined, TableError>> {
-	const base = await fetchBase(keyValue, edited.basedOn, stored);
+	const base = await fetchBaseRows(keyValue, edited.basedOn, stored);
 	if (base.isErr()) {
 		return err(base.error);
 	}
--- a/src/table/encode-pages.ts
+++ b/src/table/encode-pages.ts
@@ -4,7 +4,7 @@
 import {type TablePage} from './table-page.js';
 
 /** Rows that a page has on average, at most; a page is then about 64 KB. */
-const rowsPerPage = 256;
+const maximumMeanRowsPerPage = 256;
 const hashDigits = 32;
 
 const hashText = (text: string): string => createHash('sha256').update(text).digest('hex').slice(0, hashDigits);
@@ -15,7 +15,7 @@
  * @returns a power of two of pages, in the order of the head
  */
 export function encodePages(rows: readonly Row[]): TablePage[] {
-	const count = 2 ** Math.max(0, Math.ceil(Math.log2(rows.length / rowsPerPage)));
+	const count = 2 ** Math.max(0, Math.ceil(Math.log2(rows.length / maximumMeanRowsPerPage)));
 	const buckets: Array<Array<{key: string; row: Row}>> = Array.from({length: count}, () => []);
 	for (const row of rows) {
 		const key = getRowKey(row);
--- a/src/table/read-table.ts
+++ b/src/table/fetch-snapshot.ts
@@ -10,9 +10,9 @@
  * Reads the pages that a head names and builds the snapshot.
  *
  * @param headText - the head as stored
- * @param known - pages already at hand, which are not read again
+ * @param knownPages - pages already at hand, which are not read again
  */
-export async function readTable(keyValue: KeyValue, headText: string, known: ReadonlyMap<string, TablePage>): Promise<Result<TableSnapshot, TableError>> {
+export async function fetchSnapshot(keyValue: KeyValue, headText: string, knownPages: ReadonlyMap<string, TablePage>): Promise<Result<TableSnapshot, TableError>> {
 	const head = TableHead.safeParse(JSON.parse(headText));
 	if (!head.success) {
 		return err(new TableError('damaged', `the stored head is not a table head: ${head.error.message}`));
@@ -20,7 +20,7 @@
 
 	const pages = new Map<string, TablePage>();
 	for (const hash of head.data.pages) {
-		const page = known.get(hash);
+		const page = knownPages.get(hash);
 		if (page) {
 			pages.set(hash, page);
 			continue;
--- a/src/table/fetch-table.ts
+++ b/src/table/fetch-table.ts
@@ -1,13 +1,13 @@
 import {err, ok, type Result} from 'neverthrow';
 import {type KeyValue} from '../key-value/key-value.js';
-import {readTable} from './read-table.js';
+import {fetchSnapshot} from './fetch-snapshot.js';
 import {type StoredTable} from './stored-table.js';
 import {TableError} from './table-error.js';
 import {tableKeys} from './table-keys.js';
 import {type TablePage} from './table-page.js';
 
 /** Reads the table that the platform holds now. */
-export async function fetchTable(keyValue: KeyValue, known: ReadonlyMap<string, TablePage> = new Map()): Promise<Result<StoredTable, TableError>> {
+export async function fetchTable(keyValue: KeyValue, knownPages: ReadonlyMap<string, TablePage> = new Map()): Promise<Result<StoredTable, TableError>> {
 	const head = await keyValue.get(tableKeys.head);
 	if (head.isErr()) {
 		return err(new TableError('unavailable', head.error.message));
@@ -18,6 +18,6 @@
 	}
 
 	const {revision, value} = head.value;
-	const snapshot = await readTable(keyValue, value, known);
+	const snapshot = await fetchSnapshot(keyValue, value, knownPages);
 	return snapshot.map(table => ({revision, snapshot: table}));
 }
--- a/src/table/make-head.ts
+++ b/src/table/make-head.ts
@@ -2,7 +2,7 @@
 import {type TableHead} from './table-head.js';
 
 /** Changes whose names a head keeps, to settle writes whose answer was lost. */
-const recentChanges = 64;
+const maximumRecentChanges = 64;
 
 /** Makes the head that follows another, or the first. */
 export function makeHead(before: TableHead | undefined, pages: string[], change: TableChange): TableHead {
@@ -10,7 +10,7 @@
 	return {
 		version,
 		changeId: change.changeId,
-		recent: [{changeId: change.changeId, version}, ...(before?.recent ?? [])].slice(0, recentChanges),
+		recent: [{changeId: change.changeId, version}, ...(before?.recent ?? [])].slice(0, maximumRecentChanges),
 		at: change.now,
 		operator: change.operator,
 		pages,
--- a/src/table/table-controller.ts
+++ b/src/table/table-controller.ts
@@ -2,7 +2,7 @@
 import {type MessageOf} from '../link/message-of.js';
 import {type KeyValue} from '../key-value/key-value.js';
 import {fetchTable} from './fetch-table.js';
-import {readTable} from './read-table.js';
+import {fetchSnapshot} from './fetch-snapshot.js';
 import {TableHead} from './table-head.js';
 import {tableKeys} from './table-keys.js';
 import {type TablePage} from './table-page.js';
@@ -17,11 +17,11 @@
 };
 
 /** A wish for the pages of one version is sent again only after this time, milliseconds. */
-const askAgainMs = 500;
-const firstBackoffMs = 200;
+const requestRetryMs = 500;
+const initialBackoffMs = 200;
 const maximumBackoffMs = 30_000;
 /** How often a process that holds no watch looks at the platform by itself, milliseconds. */
-const fallbackMs = 60_000;
+const pollIntervalMs = 60_000;
 
 /**
  * Keeps the table in force at this process.
@@ -31,17 +31,17 @@
  */
 export class TableController {
 	/** What the platform was last seen to hold, if that is older than, or other than, what is in force. */
-	trouble: string | undefined;
+	divergence: string | undefined;
 	/** When the platform last answered, milliseconds since the epoch; 0: never. */
-	platformAt = 0;
+	platformReadAt = 0;
 
 	private table: TableSnapshot | undefined;
 	private isWatcher = false;
-	private watch: AbortController | undefined;
+	private watchAbort: AbortController | undefined;
 	private nextFetchAt = 0;
-	private backoffMs = firstBackoffMs;
-	private askedAt = 0;
-	private askedVersion = 0;
+	private backoffMs = initialBackoffMs;
+	private requestedAt = 0;
+	private requestedVersion = 0;
 	private isFetching = false;
 
 	constructor(private readonly options: ControllerOptions) {}
@@ -65,13 +65,13 @@
 		}
 
 		this.isWatcher = isWatcher;
-		this.watch?.abort();
-		this.nextFetchAt = isWatcher ? now : now + fallbackMs;
+		this.watchAbort?.abort();
+		this.nextFetchAt = isWatcher ? now : now + pollIntervalMs;
 	}
 
 	/** Fetches from the platform when it is time: at the start, as a watcher, or after a long silence. */
 	tick(now: number): void {
-		if (!this.isFetching && now >= this.nextFetchAt && !(this.isWatcher && this.watch)) {
+		if (!this.isFetching && now >= this.nextFetchAt && !(this.isWatcher && this.watchAbort)) {
 			this.isFetching = true;
 			void this.fetch(now).finally(() => {
 				this.isFetching = false;
@@ -82,21 +82,21 @@
 	/** Learns of a version that a peer or target holds; gives the wish to send back when it is newer. */
 	noteVersion(version: number, changeId: string, now: number): MessageOf<'table-wanted'> | undefined {
 		if (version === this.version && changeId !== '' && changeId !== this.changeId) {
-			this.report(`a peer holds another version ${version} (change ${changeId})`);
+			this.reportDivergence(`a peer holds another version ${version} (change ${changeId})`);
 		}
 
-		const isAsked = version <= this.askedVersion && now - this.askedAt < askAgainMs;
+		const isAsked = version <= this.requestedVersion && now - this.requestedAt < requestRetryMs;
 		if (version <= this.version || isAsked) {
 			return undefined;
 		}
 
-		this.askedAt = now;
-		this.askedVersion = version;
+		this.requestedAt = now;
+		this.requestedVersion = version;
 		return {type: 'table-wanted', tableVersion: this.version, pages: [...this.pages.keys()]};
 	}
 
 	/** Answers a peer's wish with the head and the pages that it lacks. */
-	offer(wish: MessageOf<'table-wanted'>): LinkMessage | undefined {
+	createOffer(wish: MessageOf<'table-wanted'>): LinkMessage | undefined {
 		if (!this.table || wish.tableVersion >= this.version) {
 			return undefined;
 		}
@@ -107,7 +107,7 @@
 	}
 
 	/** Takes what a peer offered. */
-	takeOffer(offered: MessageOf<'table-offered'>): void {
+	applyOffer(offered: MessageOf<'table-offered'>): void {
 		const head = TableHead.safeParse(JSON.parse(offered.head));
 		if (!head.success || head.data.version <= this.version) {
 			return;
@@ -120,13 +120,13 @@
 
 		const isWhole = head.data.pages.every(hash => pages.has(hash));
 		if (isWhole) {
-			this.install(new TableSnapshot(head.data, pick(pages, head.data.pages)));
+			this.install(new TableSnapshot(head.data, selectPages(pages, head.data.pages)));
 		}
 	}
 
 	/** Ends the watch. */
 	close(): void {
-		this.watch?.abort();
+		this.watchAbort?.abort();
 		this.nextFetchAt = Number.POSITIVE_INFINITY;
 	}
 
@@ -141,12 +141,12 @@
 			return;
 		}
 
-		this.backoffMs = firstBackoffMs;
-		this.platformAt = now;
-		this.nextFetchAt = now + (fallbackMs * (0.5 + this.options.random()));
-		this.consider(stored.value.snapshot);
+		this.backoffMs = initialBackoffMs;
+		this.platformReadAt = now;
+		this.nextFetchAt = now + (pollIntervalMs * (0.5 + this.options.random()));
+		this.reconcile(stored.value.snapshot);
 		if (this.isWatcher) {
-			void this.follow(stored.value.revision, now);
+			void this.watchHead(stored.value.revision, now);
 		}
 	}
 
@@ -156,45 +156,45 @@
 		this.backoffMs = Math.min(this.backoffMs * 2, maximumBackoffMs);
 	}
 
-	private async follow(revision: number, now: number): Promise<void> {
-		const watch = new AbortController();
-		this.watch = watch;
+	private async watchHead(revision: number, now: number): Promise<void> {
+		const abortController = new AbortController();
+		this.watchAbort = abortController;
 		const ended = await this.options.keyValue.watch(tableKeys.head, revision, change => {
-			void this.takeChange(change.value);
-		}, watch.signal);
-		if (this.watch === watch) {
-			this.watch = undefined;
-			this.nextFetchAt = Math.min(this.nextFetchAt, now + (firstBackoffMs * (0.5 + this.options.random())));
+			void this.applyHeadChange(change.value);
+		}, abortController.signal);
+		if (this.watchAbort === abortController) {
+			this.watchAbort = undefined;
+			this.nextFetchAt = Math.min(this.nextFetchAt, now + (initialBackoffMs * (0.5 + this.options.random())));
 			this.options.log(`watch ended: ${ended.isErr() ? ended.error.message : 'closed by the platform'}`);
 		}
 	}
 
-	private async takeChange(headText: string): Promise<void> {
-		const snapshot = await readTable(this.options.keyValue, headText, this.pages);
+	private async applyHeadChange(headText: string): Promise<void> {
+		const snapshot = await fetchSnapshot(this.options.keyValue, headText, this.pages);
 		if (snapshot.isOk()) {
-			this.consider(snapshot.value);
+			this.reconcile(snapshot.value);
 			return;
 		}
 
 		// The pages could not be read now; the next fetch will, whether the watch lives or not.
 		this.options.log(`change not read: ${snapshot.error.message}`);
-		this.watch?.abort();
+		this.watchAbort?.abort();
 	}
 
 	/* What the platform holds may be older than what is in force, if it was restored from a copy. */
-	private consider(snapshot: TableSnapshot | undefined): void {
+	private reconcile(snapshot: TableSnapshot | undefined): void {
 		const version = snapshot?.version ?? 0;
 		if (version < this.version) {
-			this.report(`the platform holds version ${version}, older than version ${this.version} in force`);
+			this.reportDivergence(`the platform holds version ${version}, older than version ${this.version} in force`);
 			return;
 		}
 
 		if (snapshot && version === this.version && snapshot.head.changeId !== this.changeId) {
-			this.report(`the platform holds another version ${version} (change ${snapshot.head.changeId})`);
+			this.reportDivergence(`the platform holds another version ${version} (change ${snapshot.head.changeId})`);
 			return;
 		}
 
-		this.trouble = undefined;
+		this.divergence = undefined;
 		if (snapshot && version > this.version) {
 			this.install(snapshot);
 		}
@@ -210,15 +210,15 @@
 		this.options.onInstall(snapshot);
 	}
 
-	private report(trouble: string): void {
-		if (this.trouble !== trouble) {
-			this.options.log(trouble);
+	private reportDivergence(message: string): void {
+		if (this.divergence !== message) {
+			this.options.log(message);
 		}
 
-		this.trouble = trouble;
+		this.divergence = message;
 	}
 }
 
-function pick(pages: ReadonlyMap<string, TablePage>, hashes: readonly string[]): Map<string, TablePage> {
+function selectPages(pages: ReadonlyMap<string, TablePage>, hashes: readonly string[]): Map<string, TablePage> {
 	return new Map(hashes.map(hash => [hash, pages.get(hash)!]));
 }
--- a/src/table/table-snapshot.ts
+++ b/src/table/table-snapshot.ts
@@ -3,7 +3,7 @@
 import {type TableHead} from './table-head.js';
 import {type TablePage} from './table-page.js';
 
-const anyName = '*';
+const wildcard = '*';
 
 /** One version of the table, ready for look-ups. */
 export class TableSnapshot {
@@ -42,13 +42,13 @@
 	findRow(service: string, organisation: string, group: string): Row | undefined {
 		const names = [
 			[service, organisation, group],
-			[service, organisation, anyName],
-			[service, anyName, group],
-			[anyName, organisation, group],
-			[service, anyName, anyName],
-			[anyName, organisation, anyName],
-			[anyName, anyName, group],
-			[anyName, anyName, anyName],
+			[service, organisation, wildcard],
+			[service, wildcard, group],
+			[wildcard, organisation, group],
+			[service, wildcard, wildcard],
+			[wildcard, organisation, wildcard],
+			[wildcard, wildcard, group],
+			[wildcard, wildcard, wildcard],
 		];
 		for (const name of names) {
 			const row = this.rowByKey.get(name.join('/'));
--- a/src/table/write-pages.ts
+++ b/src/table/write-pages.ts
@@ -7,14 +7,14 @@
 import {tableKeys} from './table-keys.js';
 import {type TablePage} from './table-page.js';
 
-const attempts = 5;
+const maximumAttempts = 5;
 /** Pages written in one transaction; at 64 KB each it stays under the service's megabyte. */
-const pagesPerWrite = 8;
+const pagesPerTransaction = 8;
 
 /* Pages alone change nothing, since no head names them yet; so a lost answer is met by writing again. */
-const writeAgain = async (keyValue: KeyValue, puts: Transaction['puts']): Promise<Result<void, TableError>> => {
+const commitWithRetries = async (keyValue: KeyValue, puts: Transaction['puts']): Promise<Result<void, TableError>> => {
 	let message = '';
-	for (let attempt = 0; attempt < attempts; attempt++) {
+	for (let attempt = 0; attempt < maximumAttempts; attempt++) {
 		const answer = await keyValue.commit({conditions: [], puts});
 		if (answer.isOk()) {
 			return ok();
@@ -32,15 +32,15 @@
 /**
  * Writes the pages of a table that are not stored yet.
  *
- * @param known - pages that the platform has
+ * @param knownPages - pages that the platform has
  * @returns the hashes of all pages, for the head
  */
-export async function writePages(keyValue: KeyValue, rows: readonly Row[], known: ReadonlyMap<string, TablePage> = new Map()): Promise<Result<string[], TableError>> {
+export async function writePages(keyValue: KeyValue, rows: readonly Row[], knownPages: ReadonlyMap<string, TablePage> = new Map()): Promise<Result<string[], TableError>> {
 	const pages = encodePages(rows);
-	const missing = pages.filter(({hash}) => !known.has(hash));
-	for (let start = 0; start < missing.length; start += pagesPerWrite) {
-		const puts = missing.slice(start, start + pagesPerWrite).map(({hash, text}) => ({key: tableKeys.page(hash), value: text}));
-		const answer = await writeAgain(keyValue, puts);
+	const missing = pages.filter(({hash}) => !knownPages.has(hash));
+	for (let start = 0; start < missing.length; start += pagesPerTransaction) {
+		const puts = missing.slice(start, start + pagesPerTransaction).map(({hash, text}) => ({key: tableKeys.page(hash), value: text}));
+		const answer = await commitWithRetries(keyValue, puts);
 		if (answer.isErr()) {
 			return err(answer.error);
 		}
