--- a/features/steps/table-controller-steps.ts
+++ b/features/steps/table-controller-steps.ts
@@ -10,7 +10,7 @@
 
 const unusedKeyValue = undefined as unknown as KeyValue;
 
-/* A platform in memory whose head the scenario sets; pages are there for every version. */
+/* Creates a key-value service in memory: the scenario delivers heads through the watch, and every page exists. */
 const createWatchedPlatform = (world: SystemWorld): KeyValue => {
 	const pages = encodePages([]);
 	const platform = {
@@ -42,7 +42,7 @@
 	this.notes.set('reports', reports);
 });
 
-When('the watch tells of versions {string}', async function (this: SystemWorld, versions: string) {
+When('the watch delivers versions {string}', async function (this: SystemWorld, versions: string) {
 	const onChange = this.notes.get('onChange') as (change: {key: string; value: string; revision: number}) => void;
 	for (const version of versions.split(', ').map(Number)) {
 		onChange({key: tableKeys.head, value: JSON.stringify(makeSnapshot([], version, `change-${version}`).head), revision: version});
@@ -73,17 +73,17 @@
 	(this.notes.get('controller') as TableController).applyOffer({type: 'table-offered', head: JSON.stringify(head), pages: [...pages.values()]});
 });
 
-When('a peer says that it holds version {int} of another change', function (this: SystemWorld, version: number) {
+When('a peer reports version {int} of another change', function (this: SystemWorld, version: number) {
 	(this.notes.get('controller') as TableController).noteVersion(version, 'theirs', 0);
 });
 
-When('a peer says that it holds version 4, and at once another that it holds version 5', function (this: SystemWorld) {
+When('one peer reports version 4 and another reports version 5 right after it', function (this: SystemWorld) {
 	const controller = this.notes.get('controller') as TableController;
-	this.notes.set('wishes', [4, 5, 5, 4].map(version => controller.noteVersion(version, '', 1000)?.type));
+	this.notes.set('requests', [4, 5, 5, 4].map(version => controller.noteVersion(version, '', 1000)?.type));
 });
 
-Then('the controller asks for both, and for neither twice', function (this: SystemWorld) {
-	assert.deepEqual(this.notes.get('wishes'), ['table-wanted', 'table-wanted', undefined, undefined]);
+Then('the controller requests each of the two versions once', function (this: SystemWorld) {
+	assert.deepEqual(this.notes.get('requests'), ['table-wanted', 'table-wanted', undefined, undefined]);
 });
 
 Then('the controller stays at version {int}', function (this: SystemWorld, version: number) {
--- a/features/steps/table-steps.ts
+++ b/features/steps/table-steps.ts
@@ -72,19 +72,19 @@
 	this.notes.set('outcome', await runCommand(['table', 'restore', ...getConnectionOptions(this)]));
 });
 
-Then('the command says {string} and exits with {int}', function (this: SystemWorld, text: string, code: number) {
+Then('the command prints {string} and exits with {int}', function (this: SystemWorld, text: string, code: number) {
 	const outcome = getOutcome(this);
 	assert.ok(outcome.stdout.includes(text), outcome.stdout + outcome.stderr);
 	assert.equal(outcome.code, code);
 });
 
-Then('the command complains of {string} and exits with {int}', function (this: SystemWorld, text: string, code: number) {
+Then('the command reports the error {string} and exits with {int}', function (this: SystemWorld, text: string, code: number) {
 	const outcome = getOutcome(this);
 	assert.ok(outcome.stderr.includes(text), outcome.stdout + outcome.stderr);
 	assert.equal(outcome.code, code);
 });
 
-Then('asking for that change says {string} and exits with {int}', async function (this: SystemWorld, text: string, code: number) {
+Then('looking up that change prints {string} and exits with {int}', async function (this: SystemWorld, text: string, code: number) {
 	const outcome = await runCommand(['table', 'status', 'the-change', ...getConnectionOptions(this)]);
 	assert.ok(outcome.stdout.includes(text), outcome.stdout + outcome.stderr);
 	assert.equal(outcome.code, code);
@@ -119,7 +119,7 @@
 	});
 };
 
-Given('the platform loses the answers to the next write of pages and of the head', function (this: SystemWorld) {
+Given('the platform loses the answers to the next writes of pages and of the head', function (this: SystemWorld) {
 	const {faults} = this.system.platform;
 	faults.lostAnswers = 1;
 	onHeadWritten(this, () => {
@@ -127,7 +127,7 @@
 	});
 });
 
-Given('the platform takes the next change of the table and goes down', function (this: SystemWorld) {
+Given('the platform accepts the next change of the table and goes down before it answers', function (this: SystemWorld) {
 	const {faults} = this.system.platform;
 	onHeadWritten(this, () => {
 		faults.lostAnswers = 1;
@@ -179,6 +179,6 @@
 	await this.system.startEntry('late-entry', zone);
 });
 
-When('the platform answers at once again', function (this: SystemWorld) {
+When('the platform answers without delay again', function (this: SystemWorld) {
 	this.system.platform.faults.delayMs = 0;
 });
--- a/features/support/run-command.ts
+++ b/features/support/run-command.ts
@@ -12,7 +12,7 @@
 	return {stream, read: () => text};
 };
 
-/** Runs the operator's command line as a shell would, and gives what it printed. */
+/** Runs the operator's command line in this process and returns its exit code and output. */
 export async function runCommand(words: readonly string[], stdin = Readable.from([])): Promise<Outcome> {
 	const out = collect();
 	const error = collect();
--- a/features/table.feature
+++ b/features/table.feature
@@ -3,7 +3,7 @@
   Scenario: A change comes into force everywhere
     Given a running system
     When an operator sets the weight of "granite" to 5
-    Then the command says "accepted" and exits with 0
+    Then the command prints "accepted" and exits with 0
     And every entry and target knows version 2
     And every entry gives "granite" the weight 5
 
@@ -12,7 +12,7 @@
     And two operators have exported the table
     When the first operator sets the weight of "granite" to 5
     And the second operator sets the weight of "marble" to 6
-    Then the command says "accepted" and exits with 0
+    Then the command prints "accepted" and exits with 0
     And the platform's table gives "granite" the weight 5 and "marble" the weight 6
 
   Scenario: Two operators change the same row at once
@@ -20,33 +20,33 @@
     And two operators have exported the table
     When the first operator sets the weight of "granite" to 5
     And the second operator sets the weight of "granite" to 6
-    Then the command complains of "theirs: " and exits with 1
-    And the command complains of "weight=5" and exits with 1
-    And the command complains of "weight=6" and exits with 1
+    Then the command reports the error "theirs: " and exits with 1
+    And the command reports the error "weight=5" and exits with 1
+    And the command reports the error "weight=6" and exits with 1
     And the platform's table gives "granite" the weight 5 and "marble" the weight 1
 
   Scenario: The answer to the write is lost after it took effect
     Given a running system
-    And the platform loses the answers to the next write of pages and of the head
+    And the platform loses the answers to the next writes of pages and of the head
     When an operator sets the weight of "granite" to 5
-    Then the command says "accepted as version 2" and exits with 0
+    Then the command prints "accepted as version 2" and exits with 0
     And every entry and target knows version 2
 
   Scenario: The platform goes down right after a write whose answer is lost
     Given a running system
-    And the platform takes the next change of the table and goes down
+    And the platform accepts the next change of the table and goes down before it answers
     When an operator sets the weight of "granite" to 5
-    Then the command complains of "unknown" and exits with 4
+    Then the command reports the error "unknown" and exits with 4
     When the platform is up again
-    Then asking for that change says "accepted as version 2" and exits with 0
+    Then looking up that change prints "accepted as version 2" and exits with 0
 
   Scenario: The platform is down
     Given a running system
     And the platform is down
     When an operator sets the weight of "granite" to 5 from a file
-    Then the command complains of "refused" and exits with 3
+    Then the command reports the error "refused" and exits with 3
 
-  Scenario: The platform is away for an hour; callers are served, and a change afterwards arrives
+  Scenario: The platform is down for an hour: callers are served, and a later change arrives
     Given a running system
     And the platform is down
     When 1 hours pass
@@ -56,7 +56,7 @@
     And an operator sets the weight of "granite" to 5
     Then every entry and target knows version 2
 
-  Scenario: The platform comes back with older data
+  Scenario: The platform is restored from an older copy
     Given a running system
     And a copy of the platform is made
     When an operator sets the weight of "granite" to 5
@@ -65,26 +65,26 @@
     Then some entry reports "older than version 2 in force"
     And every entry and target knows version 2
     When an operator applies a table based on the restored platform
-    Then the command complains of "version 2 is in force" and exits with 1
+    Then the command reports the error "version 2 is in force" and exits with 1
     When an operator restores the table
-    Then the command says "restored as version 3" and exits with 0
+    Then the command prints "restored as version 3" and exits with 0
     And every entry and target knows version 3
     And every entry gives "granite" the weight 5
 
-  Scenario: The watch breaks without a word, and the change comes by the peers
+  Scenario: The watch delivers nothing before it breaks, and the change still arrives
     Given a running system
     And the watches of the platform deliver nothing
     When an operator sets the weight of "granite" to 5
     And the watches of the platform break
     Then every entry and target knows version 2
 
-  Scenario: Most entries hold no watch
+  Scenario: Only two entries of a zone watch the platform
     Given a running system of 5 entries in one zone
     Then 2 entries watch the platform
     When an operator sets the weight of "granite" to 5
     Then every entry and target knows version 2
 
-  Scenario: An entry that starts while the platform is away takes the table from its peers
+  Scenario: An entry that starts while the platform is down gets the table from its peers
     Given a running system
     When an operator sets the weight of "granite" to 5
     Then every entry and target knows version 2
@@ -92,21 +92,21 @@
     When another entry starts in "barre-hall"
     Then every entry and target knows version 2
 
-  Scenario: Two changes at once are both asked for
+  Scenario: Two newer versions reported at once are both requested
     Given a table controller at version 3
-    When a peer says that it holds version 4, and at once another that it holds version 5
-    Then the controller asks for both, and for neither twice
+    When one peer reports version 4 and another reports version 5 right after it
+    Then the controller requests each of the two versions once
 
-  Scenario: A peer offers an older version, or another one of the same number
+  Scenario: A peer offers an older version, or reports another change with the same version number
     Given a table controller at version 3
     When a peer offers version 2
-    And a peer says that it holds version 3 of another change
+    And a peer reports version 3 of another change
     Then the controller stays at version 3
     And the controller reports "another version 3"
 
-  Scenario: A watch that repeats, goes back and skips
+  Scenario: A watch delivers repeated and older versions and skips some
     Given a table controller that watches the platform
-    When the watch tells of versions "5, 3, 5, 7, 6"
+    When the watch delivers versions "5, 3, 5, 7, 6"
     Then versions came into force in the order "5, 7"
     And the controller reports "older than version 7 in force"
 
@@ -115,11 +115,11 @@
     And the platform takes 5000 ms for an answer
     When a caller asks "stone-drafts" for 2 tokens about "granite"
     Then the reply has status 200
-    When the platform answers at once again
+    When the platform answers without delay again
     And an operator sets the weight of "granite" to 6
     Then every entry and target knows version 2
 
-  Scenario: Every problem of a file is named at once and nothing is applied
+  Scenario: All problems of a file are reported together, and nothing is applied
     Given a running system
     When an operator applies this table:
       """
@@ -127,12 +127,12 @@
       *,granite,*,zero,,3
       *,granite,*,1,2.5,9
       """
-    Then the command complains of "table.csv:2, column weight" and exits with 1
-    And the command complains of "table.csv:3, column concurrency" and exits with 1
-    And the command complains of "table.csv:3, column urgency" and exits with 1
+    Then the command reports the error "table.csv:2, column weight" and exits with 1
+    And the command reports the error "table.csv:3, column concurrency" and exits with 1
+    And the command reports the error "table.csv:3, column urgency" and exits with 1
     And every entry and target knows version 1
 
-  Scenario: The most specific row wins, whole
+  Scenario: The most specific row applies as a whole
     Given this table:
       """
       service,organisation,group,weight,concurrency
@@ -148,7 +148,7 @@
     And the row for "other", "granite", "b" has weight 2
     And the row for "other", "marble", "b" has weight 1
 
-  Scenario: A large table stays under a megabyte a value, and a small change writes little
+  Scenario: Each stored value of a large table is under a megabyte, and a small change writes little
     Given a table of 6700 organisations and 4 services
     Then every stored page is under 1000000 bytes
     And changing one row changes 1 page
--- a/src/cli/commands/explain.ts
+++ b/src/cli/commands/explain.ts
@@ -14,10 +14,10 @@
 	decisions: z.array(z.string()),
 });
 
-/** `explain REQUEST-ID` */
+/** `explain REQUEST-ID`: prints the decisions that an entry recorded for a request. */
 export class Explain extends OperatorCommand {
 	static override paths = [['explain']];
-	static override usage = Command.Usage({description: 'tell why a request went as it did; its id is in the answer\'s Wardswitch-Request-Id'});
+	static override usage = Command.Usage({description: 'show the decisions on a request; its id is in the header Wardswitch-Request-Id of the answer'});
 	id = Option.String();
 
 	async execute(): Promise<number> {
@@ -33,7 +33,7 @@
 			}
 		}
 
-		this.printErrors(['no entry knows that request any more; each keeps its last 1000']);
+		this.printErrors(['no reachable entry has a record of that request; each entry keeps its last 1000']);
 		return exitCode.refused;
 	}
 }
--- a/src/cli/commands/lab.ts
+++ b/src/cli/commands/lab.ts
@@ -8,24 +8,24 @@
 import {policies} from '../../model/policies.js';
 import {exitCode} from '../exit-code.js';
 
-const count = z.coerce.number('expected a whole number').int('expected a whole number').min(1, 'expected 1 or more');
+const seedCount = z.coerce.number('expected a whole number').int('expected a whole number').min(1, 'expected 1 or more');
 
 type PolicyResult = Readonly<Record<keyof LoadResult, number>> & {readonly policy: string};
 
-/** `lab SCENARIO` */
+/** `lab SCENARIO`: compares admission policies in the load simulation. */
 export class Lab extends Command {
 	static override paths = [['lab']];
 	static override usage = Command.Usage({
-		description: 'play callers of streams against a model of a group, on the same seeds, by the decisions of an entry, by those with a part taken out, and by none',
+		description: 'simulate callers that request streams from a lock-step group, and compare the admission of an entry with reduced forms of it and with none, on the same seeds',
 		examples: [['Twenty seeds of the example', 'wardswitch lab examples/lab.toml --seeds 20']],
 	});
 
 	scenarioPath = Option.String();
-	seeds = Option.String('--seeds', '8', {description: 'how many seeds to play'});
+	seeds = Option.String('--seeds', '8', {description: 'number of seeds to simulate'});
 	isJson = Option.Boolean('--json', false, {description: 'print JSON Lines'});
 
 	async execute(): Promise<number> {
-		const seeds = count.safeParse(this.seeds);
+		const seeds = seedCount.safeParse(this.seeds);
 		if (!seeds.success) {
 			return this.fail(`--seeds: ${seeds.error.issues[0].message}`);
 		}
@@ -43,7 +43,7 @@
 		return exitCode.ok;
 	}
 
-	/* The scenario, or what is wrong with its file. */
+	/* Returns the scenario, or an error message about its file. */
 	private readScenario(): LoadScenario | string {
 		try {
 			const result = LoadScenario.safeParse(parse(readFileSync(this.scenarioPath, 'utf8')));
--- a/src/cli/commands/log.ts
+++ b/src/cli/commands/log.ts
@@ -9,18 +9,18 @@
 
 const milliseconds = z.coerce.number('expected a whole number of milliseconds').int('expected a whole number of milliseconds').nonnegative('expected 0 or more');
 
-/** `log [WORD ...]` */
+/** `log [WORD ...]`: searches the logs of processes. */
 export class Log extends Command {
 	static override paths = [['log']];
 	static override usage = Command.Usage({
-		description: 'find a request, a target or a part in the logs of processes, with what led up to it',
-		examples: [['All on one request, and what its entry believed in the ten seconds before', 'wardswitch log dd90ba18d90f1cc5 --context 10000 --file entries.log']],
+		description: 'find the lines on a request, a target or a part in the logs of processes, with the lines that led up to them',
+		examples: [['All lines on one request, and the state changes of its entry in the ten seconds before', 'wardswitch log dd90ba18d90f1cc5 --context 10000 --file entries.log']],
 	});
 
 	words = Option.Rest();
 	file = Option.String('--file', {description: 'log of one or more processes; standard input by default'});
-	part = Option.String('--part', {description: 'part that speaks, such as view, fleet, request, rank'});
-	contextOption = Option.String('--context', '0', {description: 'milliseconds before each line found in which what the process came to believe is shown as well'});
+	part = Option.String('--part', {description: 'part of the process that wrote the line, such as view, fleet, request, rank'});
+	contextOption = Option.String('--context', '0', {description: 'also show the state changes of the process in this many milliseconds before each line found'});
 	isJson = Option.Boolean('--json', false, {description: 'print JSON Lines'});
 
 	async execute(): Promise<number> {
--- a/src/cli/commands/map-replay.ts
+++ b/src/cli/commands/map-replay.ts
@@ -21,20 +21,20 @@
 	'--move-weight': weight,
 });
 
-/** `map replay TRACE` */
+/** `map replay TRACE`: evaluates a planning policy on a trace of expert loads. */
 export class MapReplay extends Command {
 	static override paths = [['map', 'replay']];
 	static override usage = Command.Usage({
-		description: 'replay a trace of expert loads under a policy: skew, copies moved, switches, planning time',
-		examples: [['What more weight on moves would change', 'wardswitch map replay trace.jsonl --ranks 8 --slots 10 --policy incremental --move-weight 10']],
+		description: 'replay a trace of expert loads under a policy and print skew, copies moved, switches and planning time',
+		examples: [['The effect of more weight on moves', 'wardswitch map replay trace.jsonl --ranks 8 --slots 10 --policy incremental --move-weight 10']],
 	});
 
 	file = Option.String();
 	ranks = Option.String('--ranks', {required: true, description: 'ranks of the group'});
 	slots = Option.String('--slots', {required: true, description: 'slots per rank and layer'});
 	policy = Option.String('--policy', {required: true, description: 'static, repack or incremental'});
-	skewWeight = Option.String('--skew-weight', '1', {description: 'what a lower skew is worth'});
-	moveWeight = Option.String('--move-weight', '1', {description: 'what fewer copies moved are worth'});
+	skewWeight = Option.String('--skew-weight', '1', {description: 'weight of a lower skew'});
+	moveWeight = Option.String('--move-weight', '1', {description: 'weight of fewer copies moved'});
 	mapsFile = Option.String('--maps', {description: 'file to write the map in force during each interval to, JSON Lines'});
 	isJson = Option.Boolean('--json', false, {description: 'print JSON'});
 
--- a/src/cli/commands/map-trace.ts
+++ b/src/cli/commands/map-trace.ts
@@ -14,16 +14,16 @@
 	zipf: z.coerce.number('expected a number of 0 or more').nonnegative('expected a number of 0 or more'),
 });
 
-/** `map trace` */
+/** `map trace`: generates a trace of expert loads. */
 export class MapTrace extends Command {
 	static override paths = [['map', 'trace']];
 	static override usage = Command.Usage({description: 'write a seeded trace of expert loads, JSON Lines'});
 	kind = Option.String('--kind', {required: true, description: TraceKind.options.join(', ')});
 	seed = Option.String('--seed', '1', {description: 'the same seed gives the same trace'});
-	intervals = Option.String('--intervals', '100', {description: 'lines to write'});
+	intervals = Option.String('--intervals', '100', {description: 'intervals to write, one per line'});
 	layers = Option.String('--layers', '58', {description: 'layers'});
-	experts = Option.String('--experts', '64', {description: 'experts a layer'});
-	zipf = Option.String('--zipf', '0.8', {description: 'exponent of the Zipf popularity; 0 is even'});
+	experts = Option.String('--experts', '64', {description: 'experts per layer'});
+	zipf = Option.String('--zipf', '0.8', {description: 'exponent of the Zipf distribution of expert popularity; 0 is uniform'});
 
 	async execute(): Promise<number> {
 		const {kind, seed, intervals, layers, experts, zipf} = this;
--- a/src/cli/commands/status.ts
+++ b/src/cli/commands/status.ts
@@ -15,10 +15,10 @@
 
 const describeAge = (ageMs: number | undefined): string => ageMs === undefined ? 'never' : `${(ageMs / 1000).toFixed(1)} s ago`;
 
-/** `status` */
+/** `status`: shows the state of each entry. */
 export class Status extends OperatorCommand {
 	static override paths = [['status']];
-	static override usage = Command.Usage({description: 'show each entry: table, platform, peers, targets, and how old each fact is'});
+	static override usage = Command.Usage({description: 'show each entry with its table, platform, peers and targets, and the age of this data'});
 
 	async execute(): Promise<number> {
 		const entries = await this.findEntryUrls();
@@ -31,15 +31,15 @@
 
 function describe(page: z.infer<typeof entryStatus>): string[] {
 	const {table, list, entries, targets} = page;
-	const silent = entries.filter(({state}) => state !== 'live').map(({id, state}) => `${id} (${state})`);
-	const away = targets.filter(({isReady}) => !isReady).map(({id}) => id);
+	const notLive = entries.filter(({state}) => state !== 'live').map(({id, state}) => `${id} (${state})`);
+	const notReady = targets.filter(({isReady}) => !isReady).map(({id}) => id);
 	const leaving = targets.filter(({isLeaving}) => isLeaving).map(({id}) => id);
 	return [
 		`${page.id} in ${page.availabilityZone}: ${page.isReady ? 'ready' : 'not ready'}`,
 		`  table version ${table.version}; the platform was read ${describeAge(table.platformAgeMs)}`,
 		...(table.trouble ? [`  trouble: ${table.trouble}`] : []),
 		`  list of ${list.vms} VMs, read ${describeAge(list.ageMs)}`,
-		`  other entries: ${entries.length}, not heard: ${silent.join(', ') || 'none'}`,
-		`  linked targets: ${targets.length}, away: ${away.join(', ') || 'none'}, leaving: ${leaving.join(', ') || 'none'}`,
+		`  other entries: ${entries.length}, not live: ${notLive.join(', ') || 'none'}`,
+		`  linked targets: ${targets.length}, not ready: ${notReady.join(', ') || 'none'}, leaving: ${leaving.join(', ') || 'none'}`,
 	];
 }
--- a/src/cli/commands/table-apply.ts
+++ b/src/cli/commands/table-apply.ts
@@ -15,17 +15,19 @@
 import {readTableFile} from '../read-table-file.js';
 
 const entryVersion = z.object({id: z.string(), availabilityZone: z.string(), table: z.object({version: z.number()})});
+/** Interval at which `--wait` reads the versions of the entries, milliseconds. */
 const pollIntervalMs = 250;
+/** Maximum time of `--wait`, milliseconds. */
 const maximumWaitMs = 30_000;
 
-/** `table apply FILE` */
+/** `table apply FILE`: merges an edited table file into the stored table. */
 export class TableApply extends OperatorCommand {
 	static override paths = [['table', 'apply']];
-	static override usage = Command.Usage({description: 'apply a table file; says accepted, refused or unknown'});
+	static override usage = Command.Usage({description: 'apply a table file; the outcome is accepted, refused or unknown'});
 	file = Option.String();
-	isDryRun = Option.Boolean('--dry-run', false, {description: 'show the change and apply nothing'});
+	isDryRun = Option.Boolean('--dry-run', false, {description: 'show the rows that would change, without applying them'});
 	isWaiting = Option.Boolean('--wait', false, {description: 'wait until the change is in force in every availability zone'});
-	changeId = Option.String('--change', {description: 'name of the change; repeat an unknown one under its name'});
+	changeId = Option.String('--change', {description: 'id of the change; to repeat a change with an unknown outcome, give its id again'});
 
 	async execute(): Promise<number> {
 		const table = readTableFile(this.file);
@@ -66,7 +68,7 @@
 
 	private reportError(error: TableError, changeId: string): number {
 		if (error.kind === 'unknown') {
-			this.printErrors([`unknown: ${error.message}; ask "table status ${changeId}", or apply again with --change ${changeId}`]);
+			this.printErrors([`unknown: ${error.message}; see "table status ${changeId}", or apply again with --change ${changeId}`]);
 			return exitCode.unknown;
 		}
 
--- a/src/cli/commands/table-check.ts
+++ b/src/cli/commands/table-check.ts
@@ -3,10 +3,10 @@
 import {OperatorCommand} from '../operator-command.js';
 import {readTableFile} from '../read-table-file.js';
 
-/** `table check FILE` */
+/** `table check FILE`: validates a table file. */
 export class TableCheck extends OperatorCommand {
 	static override paths = [['table', 'check']];
-	static override usage = Command.Usage({description: 'check a table file; every problem is named'});
+	static override usage = Command.Usage({description: 'check a table file and list all problems'});
 	file = Option.String();
 
 	async execute(): Promise<number> {
--- a/src/cli/commands/table-diff.ts
+++ b/src/cli/commands/table-diff.ts
@@ -6,10 +6,10 @@
 import {OperatorCommand} from '../operator-command.js';
 import {readTableFile} from '../read-table-file.js';
 
-/** `table diff FILE` */
+/** `table diff FILE`: compares a table file with the stored table. */
 export class TableDiff extends OperatorCommand {
 	static override paths = [['table', 'diff']];
-	static override usage = Command.Usage({description: 'show how a table file differs from the table in the platform'});
+	static override usage = Command.Usage({description: 'show the differences between the table on the platform and a table file'});
 	file = Option.String();
 
 	async execute(): Promise<number> {
--- a/src/cli/commands/table-get.ts
+++ b/src/cli/commands/table-get.ts
@@ -4,7 +4,7 @@
 import {exitCode} from '../exit-code.js';
 import {OperatorCommand} from '../operator-command.js';
 
-/** `table get` */
+/** `table get`: exports the stored table as CSV. */
 export class TableGet extends OperatorCommand {
 	static override paths = [['table', 'get']];
 	static override usage = Command.Usage({description: 'print the table as CSV, with the version it is based on'});
--- a/src/cli/commands/table-history.ts
+++ b/src/cli/commands/table-history.ts
@@ -4,7 +4,7 @@
 import {exitCode} from '../exit-code.js';
 import {OperatorCommand} from '../operator-command.js';
 
-/** `table history` */
+/** `table history`: lists the stored versions of the table. */
 export class TableHistory extends OperatorCommand {
 	static override paths = [['table', 'history']];
 	static override usage = Command.Usage({description: 'list the versions of the table, the newest first'});
--- a/src/cli/commands/table-restore.ts
+++ b/src/cli/commands/table-restore.ts
@@ -12,16 +12,16 @@
 
 const tableInForce = z.object({head: TableHead, rows: z.array(Row)});
 
-/** `table restore` */
+/** `table restore`: writes the table in force at the entries back to a platform that was restored from an older backup. */
 export class TableRestore extends OperatorCommand {
 	static override paths = [['table', 'restore']];
-	static override usage = Command.Usage({description: 'bring a platform that lost newer changes up to the table in force at the entries'});
+	static override usage = Command.Usage({description: 'write the table in force at the entries back to a platform that lost newer changes'});
 
 	async execute(): Promise<number> {
 		const newest = await this.fetchNewestTable();
 		const stored = await fetchTable(this.openKeyValue());
 		if (!newest || stored.isErr()) {
-			this.printErrors([stored.isErr() ? stored.error.message : 'no entry with a table can be reached']);
+			this.printErrors([stored.isErr() ? stored.error.message : 'no reachable entry has a table']);
 			return exitCode.unavailable;
 		}
 
--- a/src/cli/commands/table-status.ts
+++ b/src/cli/commands/table-status.ts
@@ -3,10 +3,10 @@
 import {exitCode} from '../exit-code.js';
 import {OperatorCommand} from '../operator-command.js';
 
-/** `table status CHANGE` */
+/** `table status CHANGE`: looks up the outcome of a change. */
 export class TableStatus extends OperatorCommand {
 	static override paths = [['table', 'status']];
-	static override usage = Command.Usage({description: 'tell whether a change was accepted'});
+	static override usage = Command.Usage({description: 'show whether a change was accepted'});
 	changeId = Option.String();
 
 	async execute(): Promise<number> {
--- a/src/cli/commands/target-order.ts
+++ b/src/cli/commands/target-order.ts
@@ -6,13 +6,15 @@
 import {exitCode} from '../exit-code.js';
 import {OperatorCommand} from '../operator-command.js';
 
+/** Timeout of connecting to the target, milliseconds. */
 const timeoutMs = 5000;
+/** Maximum size of a frame on the link, bytes. */
 const maximumFrameBytes = 1024 * 1024;
 
-/** `target stop ID` and `target start ID` */
+/** `target stop ID` and `target start ID`: starts or cancels the planned stop of a target. */
 export class TargetOrder extends OperatorCommand {
 	static override paths = [['target', 'stop'], ['target', 'start']];
-	static override usage = Command.Usage({description: 'order a planned stop of a target, or take it back'});
+	static override usage = Command.Usage({description: 'start a planned stop of a target, or cancel it'});
 	id = Option.String();
 	keyFile = Option.String('--key-file', {description: 'file that holds the key of the links, hexadecimal'});
 
@@ -31,12 +33,12 @@
 
 		const type = this.path[1] === 'stop' ? 'stop' : 'start';
 		const isLeaving = await sendStateChange(vm.address, vm.linkPort, key, type);
-		this.print({id: this.id, leaving: isLeaving}, [`${this.id} ${isLeaving ? 'takes nothing new and ends what runs' : 'serves'}`]);
+		this.print({id: this.id, leaving: isLeaving}, [`${this.id} ${isLeaving ? 'takes no new requests and completes the running ones' : 'takes requests'}`]);
 		return exitCode.ok;
 	}
 }
 
-/* The target answers a change of its state on every link; an order that changes nothing is seen in its welcome. */
+/* A target announces a change of its state on every link. If it is in the wanted state already, its welcome shows it and nothing is sent. */
 async function sendStateChange(address: string, port: number, key: string, type: 'stop' | 'start'): Promise<boolean> {
 	const connection = await connectLink({
 		address, port, key, timeoutMs, maximumFrameBytes, meter: () => undefined,
--- a/src/cli/create-command-line.ts
+++ b/src/cli/create-command-line.ts
@@ -19,7 +19,7 @@
 	Builtins.HelpCommand, TableCheck, TableGet, TableDiff, TableApply, TableStatus, TableRestore, TableHistory, TargetList, TargetOrder, Status, Explain, Lab, Log, MapReplay, MapTrace,
 ];
 
-/** The operator's command line; a new command is a new file and a line here. */
+/** Creates the operator's command line. To add a command, add its file to `commands` and its class to the list above. */
 export function createCommandLine(): Cli {
 	const cli = new Cli({binaryLabel: 'wardswitch', binaryName: 'wardswitch'});
 	for (const command of commands) {
--- a/src/cli/describe-problem.ts
+++ b/src/cli/describe-problem.ts
@@ -1,6 +1,6 @@
 import {type TableProblem} from '../table/table-problem.js';
 
-/** One line about a problem of a table file: place, value, expectation. */
+/** Formats a problem of a table file as one line: location, invalid value, expectation. */
 export function describeProblem(file: string, {line, column, value, expectation}: TableProblem): string {
 	const place = column === '' ? `${file}:${line}` : `${file}:${line}, column ${column}`;
 	return value === '' ? `${place}: ${expectation}` : `${place}: "${value}": ${expectation}`;
--- a/src/cli/describe-row.ts
+++ b/src/cli/describe-row.ts
@@ -1,10 +1,10 @@
 import {type Row} from '../table/row.js';
 import {tableColumns} from '../table/table-columns.js';
 
-/** Digits of a token's hash that tell it from others. */
+/** Hexadecimal digits of a token's hash that are printed; enough to identify the token. */
 const tokenHashDigits = 8;
 
-/** One line with all that a row says; a row that is not there is said to be absent. */
+/** Formats a row as one line of HEADING=VALUE pairs; a missing row as `(absent)`. */
 export function describeRow(row: Row | undefined): string {
 	if (!row) {
 		return '(absent)';
--- a/src/cli/operator-command.ts
+++ b/src/cli/operator-command.ts
@@ -9,13 +9,14 @@
 import {OperatorSettings} from './operator-settings.js';
 
 const defaultSettingsFile = 'wardswitch.toml';
+/** Timeout of each request to the platform and to entries, milliseconds. */
 const timeoutMs = 5000;
 
-/** What every command of an operator shares: settings, the platform, entries, and output for people or programs. */
+/** Base class of the commands that use the platform or entries: their common options, settings, access and output. */
 export abstract class OperatorCommand extends Command {
 	settingsFile = Option.String('--settings', {description: `settings file; ${defaultSettingsFile} by default`});
 	platformUrl = Option.String('--platform', {description: 'base URL of the key-value service'});
-	vmListUrl = Option.String('--vm-list', {description: 'URL of the list of VMs'});
+	vmListUrl = Option.String('--vm-list', {description: 'URL of the VM list'});
 	entryUrls = Option.Array('--entry', {description: 'admin URL of an entry; may be repeated'});
 	isJson = Option.Boolean('--json', false, {description: 'print JSON'});
 
@@ -49,7 +50,7 @@
 		return list.value.vms;
 	}
 
-	/** Admin URLs of entries: those given, or all that the list of VMs names. */
+	/** Finds the admin URLs of entries: those of the options, else of the settings, else all in the VM list. */
 	protected async findEntryUrls(): Promise<string[]> {
 		const given = this.entryUrls ?? this.getSettings().entries;
 		if (given.length > 0) {
@@ -60,7 +61,7 @@
 		return vms.filter(vm => vm.role === 'entry' && vm.adminPort !== undefined).map(vm => `http://${vm.address}:${vm.adminPort}`);
 	}
 
-	/** Reads a page of an entry's admin server; undefined when it cannot be reached or knows nothing. */
+	/** Fetches a JSON document from an entry's admin server; undefined if the entry cannot be reached or does not answer with status 200. */
 	protected async fetchAdminPage(entry: string, page: string): Promise<unknown> {
 		try {
 			const answer = await request(`${entry}/${page}`, {headersTimeout: timeoutMs, bodyTimeout: timeoutMs});
@@ -71,12 +72,13 @@
 		}
 	}
 
-	/** Prints a document for programs, or lines for people. */
+	/** Prints the document as JSON with `--json`, else the lines. */
 	protected print(document: unknown, lines: readonly string[]): void {
 		const text = this.isJson ? JSON.stringify(document) : lines.join('\n');
 		this.context.stdout.write(`${text}\n`);
 	}
 
+	/** Prints lines to standard error. */
 	protected printErrors(lines: readonly string[]): void {
 		this.context.stderr.write(`${lines.join('\n')}\n`);
 	}
--- a/src/cli/operator-settings.ts
+++ b/src/cli/operator-settings.ts
@@ -1,6 +1,6 @@
 import {z} from 'zod';
 
-/** Settings of the operator's command line; every one can be given as an option instead. */
+/** Settings file of the operator's command line; each setting has an option that overrides it. */
 const OperatorSettings = z.strictObject({
 	platform: z.strictObject({
 		keyValue: z.url().optional().meta({description: 'Base URL of the key-value service'}),
--- a/src/cli/read-table-file.ts
+++ b/src/cli/read-table-file.ts
@@ -4,7 +4,7 @@
 import {parseTable} from '../table/parse-table.js';
 import {describeProblem} from './describe-problem.js';
 
-/** Reads a table file; the error holds one line a problem. */
+/** Reads and parses a table file; the error holds one line per problem. */
 export function readTableFile(file: string): Result<ParsedTable, string[]> {
 	let text: string;
 	try {
--- a/src/model/load-result.ts
+++ b/src/model/load-result.ts
@@ -1,12 +1,13 @@
-/** What became of the streams of a played scenario: numbers of callers. */
+/** Outcome of a simulated scenario, in numbers of callers. `wardswitch lab --json` prints it as it stands. */
 export type LoadResult = {
+	/** Callers that requested a stream. */
 	readonly asked: number;
-	/** First event and every pause within the promised times, from the first try on. */
+	/** Admitted at the first attempt, with the first event and every later gap within the target times. */
 	readonly onTime: number;
-	/** Served whole, but not on time. */
+	/** Served completely, but not on time. */
 	readonly late: number;
-	/** Refused twice: a caller returns once. */
+	/** Refused twice; a caller retries once. */
 	readonly refused: number;
-	/** Worth by that of all on time, 0 to 1. */
+	/** Value of the answers relative to all callers being served on time, 0 to 1; a late answer counts `lateWorth`. */
 	readonly worth: number;
 };
--- a/src/model/lock-step-group.ts
+++ b/src/model/lock-step-group.ts
@@ -1,7 +1,7 @@
 import {type LoadScenario} from './load-scenario.js';
 import {type SimulatedStream} from './simulated-stream.js';
 
-/** A group of ranks that takes every pass together, as long as its slowest rank takes. Pure: time is what it is told. */
+/** A simulated group whose ranks run every forward pass in lock step, so that the slowest rank sets its duration. Has no clock of its own. */
 export class LockStepGroup {
 	private readonly ranks: SimulatedStream[][];
 
@@ -9,7 +9,7 @@
 		this.ranks = Array.from({length: scenario.targets}, () => []);
 	}
 
-	/** Streams under way and waiting. */
+	/** Number of streams that run or wait at a rank. */
 	get inFlight(): number {
 		let streams = 0;
 		for (const rank of this.ranks) {
@@ -19,15 +19,15 @@
 		return streams;
 	}
 
-	/** Hands a stream to the rank with the fewest. */
+	/** Assigns a stream to the rank with the fewest streams. */
 	assign(stream: SimulatedStream): void {
 		const least = Math.min(...this.ranks.map(rank => rank.length));
 		this.ranks.find(rank => rank.length === least)!.push(stream);
 	}
 
 	/**
-	 * Length of the next pass if it begins now, milliseconds: the slowest rank's own part, and for the part that goes to
-	 * experts, wherever the requests are, that of the rank whose experts are chosen most.
+	 * Returns the duration of a pass that begins now, milliseconds. The share outside the experts depends on the rank with
+	 * the most work of its own; the expert share depends on the skew, since tokens go to experts of any rank.
 	 */
 	getPassDuration(now: number): number {
 		const {targets, expertShare} = this.scenario;
@@ -42,33 +42,33 @@
 		return ((1 - expertShare) * slowestMs) + (expertShare * this.getSkew(now) * sumMs / targets);
 	}
 
-	/** Ends a pass: every running stream has one more event; gives those that are whole. */
+	/** Ends a pass: adds an event to every running stream, then removes and returns the completed streams. */
 	endPass(now: number): SimulatedStream[] {
-		const whole: SimulatedStream[] = [];
+		const completed: SimulatedStream[] = [];
 		for (const [index, rank] of this.ranks.entries()) {
 			for (const stream of rank.slice(0, this.scenario.slots)) {
 				stream.isPrefilled = true;
 				stream.eventTimes.push(now);
 				if (stream.eventTimes.length >= stream.eventCount) {
-					whole.push(stream);
+					completed.push(stream);
 				}
 			}
 
 			this.ranks[index] = rank.filter(({eventTimes, eventCount}) => eventTimes.length < eventCount);
 		}
 
-		return whole;
+		return completed;
 	}
 
 	private getRankDuration(rank: readonly SimulatedStream[]): number {
 		const {pace: {stepMs, requestMs, stepsPerEvent}, slots, tokensPerMs} = this.scenario;
 		const running = rank.slice(0, slots);
-		let unread = 0;
+		let promptTokensLeft = 0;
 		for (const {isPrefilled, promptTokens} of running) {
-			unread += isPrefilled ? 0 : promptTokens;
+			promptTokensLeft += isPrefilled ? 0 : promptTokens;
 		}
 
-		return (stepsPerEvent * (stepMs + (requestMs * running.length))) + (unread / tokensPerMs);
+		return (stepsPerEvent * (stepMs + (requestMs * running.length))) + (promptTokensLeft / tokensPerMs);
 	}
 
 	private getSkew(now: number): number {
--- a/src/model/policies.ts
+++ b/src/model/policies.ts
@@ -2,32 +2,32 @@
 import {type PauseForecast} from '../decisions/pause-forecast.js';
 import {type LoadScenario} from './load-scenario.js';
 
-/** Whether an entry admits a stream, from what it has seen and heard. */
+/** Decides whether an entry admits a stream, from its own observations and the last load report. */
 type Policy = (situation: {
 	readonly forecast: PauseForecast;
 	readonly scenario: LoadScenario;
-	/** Streams under way, as far as the entry has heard. */
+	/** Streams in flight according to the last report. */
 	readonly inFlight: number;
-	/** Whether the caller has come back after a refusal. */
+	/** Whether the caller retries after a refusal. */
 	readonly isRetry: boolean;
 }) => boolean;
 
-/** Share of the longest pause that the usual one may take where spikes are not reckoned with. */
+/** Largest share of the longest allowed gap that the usual gap may take, for the policy that ignores spikes. */
 const maximumUsualPauseShare = 0.65;
 
 const isAdmitted = ({forecast, scenario: {pace, targetGapMs, targets}, inFlight}: Parameters<Policy>[0], isLate: boolean): boolean => admitStream({
 	forecast, pace, targetGapMs, inFlight, targets, isLate,
 }).kind === 'admitted';
 
-/** What the model compares, by name: the entry's own decision, the same with a part taken out, and none. */
+/** The admission policies that `wardswitch lab` compares, by the name that it prints: that of the entries, two reduced forms of it, and none. */
 export const policies: Readonly<Record<'pauses' | 'no room kept' | 'usual pace' | 'none', Policy>> = {
-	/** As entries decide. */
+	/** The policy of the entries. */
 	pauses: situation => isAdmitted(situation, situation.isRetry),
-	/** No room kept for callers who can still be on time. */
+	/** As entries decide, but without reserved capacity for callers who can still be served on time. */
 	'no room kept': situation => isAdmitted(situation, false),
-	/** By the usual pace alone, spikes not reckoned with. */
+	/** By the usual gap between events alone, ignoring spikes. */
 	'usual pace': ({forecast, scenario: {pace, targetGapMs, targets}, inFlight}) =>
 		inFlight < targets * (forecast.getMostLoad(maximumUsualPauseShare * targetGapMs, pace) ?? Number.POSITIVE_INFINITY),
-	/** Everybody, as far as targets have slots. */
+	/** Admits every stream; only full targets refuse. */
 	none: () => true,
 };
--- a/src/model/simulate-load.ts
+++ b/src/model/simulate-load.ts
@@ -11,37 +11,37 @@
 type Policy = (typeof policies)[keyof typeof policies];
 type Arrival = {readonly at: number; readonly stream: SimulatedStream};
 
-/** Part of the return time by which callers are spread, as entries do after an overload. */
+/** Share of the retry time over which retries are spread, as entries do after an overload. */
 const retrySpread = 0.6;
-/** Queued at a rank beyond its slots before it counts as full. */
+/** Streams that wait at a rank, beyond its slots, before it counts as full. */
 const maximumQueuedPerRank = 2;
 const msPerSecond = 1000;
 
 /**
- * Plays streams against a group in lock step with a virtual clock; entries decide by the given policy.
+ * Simulates callers that request streams from a lock-step group, with a virtual clock. Entries admit streams by the given policy.
  *
- * @param seed - the same seed gives the same callers, whatever the policy
+ * @param seed - seed of the random numbers; equal seeds give equal callers under every policy
  */
 export function simulateLoad(scenario: LoadScenario, seed: number, policy: Policy): LoadResult {
 	const arrivals = generateArrivals(scenario, seed);
 	const generator = xoroshiro128plus(seed + 1_000_000);
 	const group = new LockStepGroup(scenario);
 	const forecasts = Array.from({length: scenario.entries}, () => new PauseForecast());
-	/* Streams under way at past moments: entries hear of them late. */
-	const history: Array<{readonly at: number; readonly inFlight: number}> = [];
+	/* Past numbers of streams in flight. Entries decide by values that are reportMs old. */
+	const loadHistory: Array<{readonly at: number; readonly inFlight: number}> = [];
 	const counts = {
 		asked: arrivals.length, onTime: 0, late: 0, refused: 0,
 	};
 
-	const offer = ({stream, at}: Arrival): void => {
+	const handleArrival = ({stream, at}: Arrival): void => {
 		const forecast = forecasts[Math.floor(uniformFloat64(generator) * scenario.entries)];
-		const inFlight = history.findLast(entry => entry.at <= at - scenario.reportMs)?.inFlight ?? 0;
+		const inFlight = loadHistory.findLast(entry => entry.at <= at - scenario.reportMs)?.inFlight ?? 0;
 		const isFull = group.inFlight >= scenario.targets * (scenario.slots + maximumQueuedPerRank);
 		if (!isFull && policy({
 			forecast, scenario, inFlight, isRetry: stream.isRetry,
 		})) {
 			group.assign(stream);
-			history.push({at, inFlight: group.inFlight});
+			loadHistory.push({at, inFlight: group.inFlight});
 		} else if (stream.isRetry) {
 			counts.refused++;
 		} else {
@@ -59,15 +59,15 @@
 				counts[isOnTime(stream, scenario) ? 'onTime' : 'late']++;
 			}
 
-			history.push({at: now, inFlight: group.inFlight});
+			loadHistory.push({at: now, inFlight: group.inFlight});
 			for (const forecast of forecasts) {
 				forecast.observe({gapMs: passMs, load, pace: scenario.pace}, now);
 			}
 		}
 
-		// What came during the pass takes part in the next.
+		// Streams that arrived during the pass join the next one.
 		while (arrivals.length > 0 && arrivals[0].at <= now) {
-			offer(arrivals.shift()!);
+			handleArrival(arrivals.shift()!);
 		}
 	}
 
@@ -76,14 +76,19 @@
 
 function generateArrivals(scenario: LoadScenario, seed: number): Arrival[] {
 	const generator = xoroshiro128plus(seed);
-	const draw = (mean: number): number => -Math.log(1 - uniformFloat64(generator)) * mean;
+	const drawExponential = (mean: number): number => -Math.log(1 - uniformFloat64(generator)) * mean;
 	const arrivals: Arrival[] = [];
 	const end = scenario.seconds * msPerSecond;
-	for (let at = draw(msPerSecond / scenario.streamsPerSecond); at < end; at += draw(msPerSecond / scenario.streamsPerSecond)) {
+	for (let at = drawExponential(msPerSecond / scenario.streamsPerSecond); at < end; at += drawExponential(msPerSecond / scenario.streamsPerSecond)) {
 		arrivals.push({
 			at,
 			stream: {
-				firstAttemptAt: at, isRetry: false, promptTokens: draw(scenario.promptTokens), eventCount: 1 + Math.floor(draw(scenario.events)), isPrefilled: false, eventTimes: [],
+				firstAttemptAt: at,
+				isRetry: false,
+				promptTokens: drawExponential(scenario.promptTokens),
+				eventCount: 1 + Math.floor(drawExponential(scenario.events)),
+				isPrefilled: false,
+				eventTimes: [],
 			},
 		});
 	}
@@ -96,7 +101,7 @@
 	arrivals.splice(index === -1 ? arrivals.length : index, 0, arrival);
 }
 
-function isOnTime({firstAttemptAt: askedAt, isRetry: isReturn, eventTimes}: SimulatedStream, {targetLatencyMs, targetGapMs}: LoadScenario): boolean {
-	const isPrompt = !isReturn && eventTimes[0] - askedAt <= targetLatencyMs;
+function isOnTime({firstAttemptAt, isRetry, eventTimes}: SimulatedStream, {targetLatencyMs, targetGapMs}: LoadScenario): boolean {
+	const isPrompt = !isRetry && eventTimes[0] - firstAttemptAt <= targetLatencyMs;
 	return isPrompt && eventTimes.every((at, index) => index === 0 || at - eventTimes[index - 1] <= targetGapMs);
 }
--- a/src/model/simulated-stream.ts
+++ b/src/model/simulated-stream.ts
@@ -1,12 +1,14 @@
-/** One try of a caller for a stream, in the model. */
+/** One attempt of a caller to get a stream, in the load simulation. */
 export type SimulatedStream = {
-	/** When the caller first asked, milliseconds. */
+	/** Time of the caller's first attempt, milliseconds. */
 	readonly firstAttemptAt: number;
-	/** Whether it was refused before. */
+	/** Whether the first attempt was refused and this is the second. */
 	readonly isRetry: boolean;
 	readonly promptTokens: number;
+	/** Events after which the stream is complete. */
 	readonly eventCount: number;
+	/** Whether the prompt has been processed. */
 	isPrefilled: boolean;
-	/** When each event was made, milliseconds. */
+	/** Time of each event so far, milliseconds. */
 	readonly eventTimes: number[];
 };
--- a/src/table/apply-table.ts
+++ b/src/table/apply-table.ts
@@ -12,6 +12,7 @@
 import {tableKeys} from './table-keys.js';
 import {writePages} from './write-pages.js';
 
+/** Attempts to swap the head, as other changes or failures may come first. */
 const maximumAttempts = 5;
 
 const fetchBaseRows = async (keyValue: KeyValue, basedOn: number, stored: StoredTable): Promise<Result<Row[], TableError>> => {
@@ -29,7 +30,7 @@
 	}
 
 	if (!head.value) {
-		return err(new TableError('stale', `version ${basedOn} is no longer kept; export the table again and repeat the edit`));
+		return err(new TableError('stale', `version ${basedOn} is no longer in the history; export the table again and repeat the edit`));
 	}
 
 	const base = await fetchSnapshot(keyValue, head.value.value, stored.snapshot.pages);
@@ -40,12 +41,13 @@
 	stored.snapshot?.head.recent.find(recent => recent.changeId === changeId)?.version;
 
 /**
- * Applies an edited table: merges it with the present one and swaps the head, once.
+ * Applies an edited table: merges it with the stored one and replaces the head by compare-and-swap.
  *
- * A write whose answer was lost is settled by reading the head back. Trying again is safe, since every try swaps
- * the same head revision and names the same change: at most one takes effect.
+ * If the answer to a write is lost, the head is read again to find out whether the write took effect. Retries are safe:
+ * each attempt looks for the change ID among the recent changes first and swaps the head only at the revision just read,
+ * so at most one takes effect.
  *
- * @returns the version in which the change is in force
+ * @returns the version that contains the change
  */
 export async function applyTable(keyValue: KeyValue, edited: ParsedTable, change: TableChange): Promise<Result<number, TableError>> {
 	let mayBeWritten = false;
@@ -77,10 +79,10 @@
 		}
 	}
 
-	return err(new TableError(mayBeWritten ? 'unknown' : 'unavailable', 'gave up; other changes or failures came first each time'));
+	return err(new TableError(mayBeWritten ? 'unknown' : 'unavailable', 'gave up after repeated attempts; each was overtaken by another change or failed'));
 }
 
-/* Gives the new version, or undefined when another change came first. */
+/* Returns the new version, or undefined if another change replaced the head first. */
 async function swapHead(keyValue: KeyValue, edited: ParsedTable, stored: StoredTable, change: TableChange): Promise<Result<number | undefined, TableError>> {
 	const base = await fetchBaseRows(keyValue, edited.basedOn, stored);
 	if (base.isErr()) {
@@ -89,7 +91,7 @@
 
 	const merged = mergeTables(base.value, edited.rows, stored.snapshot?.rows ?? []);
 	if (merged.isErr()) {
-		return err(new TableError('conflict', 'rows were changed by someone else since the export', merged.error));
+		return err(new TableError('conflict', 'rows were changed by another operator since the export', merged.error));
 	}
 
 	const pages = await writePages(keyValue, merged.value, stored.snapshot?.pages);
--- a/src/table/encode-pages.ts
+++ b/src/table/encode-pages.ts
@@ -3,16 +3,17 @@
 import {type Row} from './row.js';
 import {type TablePage} from './table-page.js';
 
-/** Rows that a page has on average, at most; a page is then about 64 KB. */
+/** Largest mean number of rows per page; a page of this size takes about 64 KB. */
 const maximumMeanRowsPerPage = 256;
+/** Hexadecimal digits of SHA-256 that name a page. */
 const hashDigits = 32;
 
 const hashText = (text: string): string => createHash('sha256').update(text).digest('hex').slice(0, hashDigits);
 
 /**
- * Cuts a table into pages. A row's page depends on its key only, so that changing a row changes one page.
+ * Splits a table into pages. The page of a row depends only on the hash of its key, so changing a row changes one page.
  *
- * @returns a power of two of pages, in the order of the head
+ * @returns the pages in the order in which the head lists them; their number is a power of two
  */
 export function encodePages(rows: readonly Row[]): TablePage[] {
 	const count = 2 ** Math.max(0, Math.ceil(Math.log2(rows.length / maximumMeanRowsPerPage)));
--- a/src/table/fetch-snapshot.ts
+++ b/src/table/fetch-snapshot.ts
@@ -7,15 +7,15 @@
 import {TableSnapshot} from './table-snapshot.js';
 
 /**
- * Reads the pages that a head names and builds the snapshot.
+ * Reads the pages that a head lists from the platform and builds the snapshot.
  *
  * @param headText - the head as stored
- * @param knownPages - pages already at hand, which are not read again
+ * @param knownPages - pages that the caller already has, which are not read again
  */
 export async function fetchSnapshot(keyValue: KeyValue, headText: string, knownPages: ReadonlyMap<string, TablePage>): Promise<Result<TableSnapshot, TableError>> {
 	const head = TableHead.safeParse(JSON.parse(headText));
 	if (!head.success) {
-		return err(new TableError('damaged', `the stored head is not a table head: ${head.error.message}`));
+		return err(new TableError('damaged', `the stored table head is malformed: ${head.error.message}`));
 	}
 
 	const pages = new Map<string, TablePage>();
--- a/src/table/fetch-table.ts
+++ b/src/table/fetch-table.ts
@@ -6,7 +6,11 @@
 import {tableKeys} from './table-keys.js';
 import {type TablePage} from './table-page.js';
 
-/** Reads the table that the platform holds now. */
+/**
+ * Reads the current table from the platform.
+ *
+ * @param knownPages - pages that the caller already has, which are not read again
+ */
 export async function fetchTable(keyValue: KeyValue, knownPages: ReadonlyMap<string, TablePage> = new Map()): Promise<Result<StoredTable, TableError>> {
 	const head = await keyValue.get(tableKeys.head);
 	if (head.isErr()) {
--- a/src/table/get-row-key.ts
+++ b/src/table/get-row-key.ts
@@ -1,6 +1,6 @@
 import {type Row} from './row.js';
 
-/** The key of a row: its service, organisation and group. */
+/** Returns the unique key of a row: SERVICE/ORGANISATION/GROUP. */
 export function getRowKey(row: Pick<Row, 'service' | 'organisation' | 'group'>): string {
 	return `${row.service}/${row.organisation}/${row.group}`;
 }
--- a/src/table/merge-tables.ts
+++ b/src/table/merge-tables.ts
@@ -6,12 +6,12 @@
 import {type TableConflict} from './table-conflict.js';
 
 /**
- * Merges an edited table into the present one, row by row.
+ * Merges an edited table into the current one, row by row (three-way merge).
  *
- * @param base - the table that the edit started from
+ * @param base - the table that the edit is based on
  * @param mine - the edited table
- * @param theirs - the table in force now
- * @returns the merged rows, or the rows that both sides changed to different values
+ * @param theirs - the current table
+ * @returns the merged rows, or the conflicts: rows that both sides changed to different values
  */
 export function mergeTables(base: readonly Row[], mine: readonly Row[], theirs: readonly Row[]): Result<Row[], TableConflict[]> {
 	const merged = new Map(theirs.map(row => [getRowKey(row), row]));
--- a/src/table/parse-table.ts
+++ b/src/table/parse-table.ts
@@ -24,7 +24,7 @@
 	for (const required of ['service', 'organisation', 'group']) {
 		if (!headings.includes(required)) {
 			problems.push({
-				line: 1, column: required, value: '', expectation: 'expected this column to be there',
+				line: 1, column: required, value: '', expectation: 'expected this column to be present',
 			});
 		}
 	}
@@ -41,7 +41,7 @@
 		} else if (kind === 'text') {
 			row[field] = text;
 		} else if (text !== '') {
-			// An empty cell leaves the field out, as a stored row does: the two must compare equal.
+			// An empty cell is left out, as in stored rows; otherwise equal rows would compare as different.
 			row[field] = Number(text);
 		}
 	}
@@ -50,9 +50,9 @@
 };
 
 /**
- * Reads a table from CSV, and checks it.
+ * Parses and validates a table in CSV.
  *
- * @param text - the whole file; a first line of headings is expected
+ * @param text - content of the file; the first line holds the headings
  * @returns the rows, or every problem found
  */
 export function parseTable(text: string): Result<ParsedTable, TableProblem[]> {
@@ -92,7 +92,7 @@
 			basedOn = Math.max(basedOn, version);
 		} else {
 			problems.push({
-				line, column: basedOnHeading, value: cells.get(basedOnHeading)!, expectation: 'expected the version as exported, or nothing',
+				line, column: basedOnHeading, value: cells.get(basedOnHeading)!, expectation: 'expected the version as exported, or an empty cell',
 			});
 		}
 
@@ -112,7 +112,7 @@
 		const earlier = lineByKey.get(key);
 		if (earlier !== undefined) {
 			problems.push({
-				line, column: 'service', value: key, expectation: `expected each service, organisation and group once; line ${earlier} has them too`,
+				line, column: 'service', value: key, expectation: `expected each service, organisation and group at most once; line ${earlier} has the same`,
 			});
 		}
 
--- a/src/table/parsed-table.ts
+++ b/src/table/parsed-table.ts
@@ -1,7 +1,8 @@
 import {type Row} from './row.js';
 
-/** A table file that was read: its rows and the version that it was exported from (0: none). */
+/** A parsed table file. */
 export type ParsedTable = {
 	readonly rows: Row[];
+	/** Version that the file was exported from; 0 if it names none. */
 	readonly basedOn: number;
 };
--- a/src/table/restore-table.ts
+++ b/src/table/restore-table.ts
@@ -11,8 +11,8 @@
 type TableInForce = {readonly head: TableHead; readonly rows: readonly Row[]};
 
 /**
- * Brings a platform that was put back to older data up to the table in force at some entry, as the version after it:
- * no process then goes back, and all go on together.
+ * Writes the table in force at an entry back to a platform that was restored from an older backup. It is written as the
+ * version after the one in force, so that every process accepts it and none goes back to an older version.
  *
  * @returns the version written
  */
@@ -38,6 +38,6 @@
 	}
 
 	return answer.value === undefined
-		? err(new TableError('stale', 'someone else changed the table meanwhile; look at it again'))
+		? err(new TableError('stale', 'the table was changed at the same time; read it again before another attempt'))
 		: ok(head.version);
 }
--- a/src/table/table-change.ts
+++ b/src/table/table-change.ts
@@ -1,10 +1,11 @@
-/** Who changes the table, under which name. */
+/** Metadata of a change of the table. */
 export type TableChange = {
-	/** Names the change, so that a lost answer can be settled. */
+	/** Unique ID of the change, by which its outcome can be looked up if the answer was lost. */
 	readonly changeId: string;
+	/** User name of the operator. */
 	readonly operator: string;
-	/** The present, milliseconds since the epoch. */
+	/** Current time, milliseconds since the epoch. */
 	readonly now: number;
-	/** Highest version that any process was seen to have in force; an older platform is not written to. */
+	/** Highest version known to be in force at a process; the change is refused if the platform holds an older one. */
 	readonly knownVersion: number;
 };
--- a/src/table/table-columns.ts
+++ b/src/table/table-columns.ts
@@ -7,7 +7,7 @@
 	readonly kind: 'text' | 'number' | 'list';
 };
 
-/** The columns of the table as a CSV file, in order. `based_on`, the version exported, comes after them. */
+/** The columns of the table in CSV, in order. The column `based_on`, the exported version, follows them. */
 export const tableColumns: readonly Column[] = [
 	{heading: 'service', field: 'service', kind: 'text'},
 	{heading: 'organisation', field: 'organisation', kind: 'text'},
--- a/src/table/table-conflict.ts
+++ b/src/table/table-conflict.ts
@@ -1,6 +1,6 @@
 import {type Row} from './row.js';
 
-/** A row that two operators changed differently since the version that both started from. */
+/** A row that two operators changed to different values since their common base version; undefined stands for a removed row. */
 export type TableConflict = {
 	readonly key: string;
 	readonly mine: Row | undefined;
--- a/src/table/table-controller.ts
+++ b/src/table/table-controller.ts
@@ -12,27 +12,28 @@
 	readonly keyValue: KeyValue;
 	readonly random: () => number;
 	readonly log: (message: string) => void;
-	/** Called after a version came into force. */
+	/** Called after a version has come into force. */
 	readonly onInstall: (table: TableSnapshot) => void;
 };
 
-/** A wish for the pages of one version is sent again only after this time, milliseconds. */
+/** Minimum time before the pages of a version are requested from a peer again, milliseconds. */
 const requestRetryMs = 500;
+/** Backoff after failed reads of the platform, milliseconds; doubled at each failure. */
 const initialBackoffMs = 200;
 const maximumBackoffMs = 30_000;
-/** How often a process that holds no watch looks at the platform by itself, milliseconds. */
+/** Mean interval at which an entry without a watch polls the platform, milliseconds. */
 const pollIntervalMs = 60_000;
 
 /**
- * Keeps the table in force at this process.
+ * Keeps the table of this entry up to date.
  *
- * A version only ever goes up. It comes from the platform if this entry watches for its zone, and from peers
- * otherwise; whoever holds an older one, peer or platform, is not obeyed.
+ * The version never decreases: older versions are ignored, whether they come from a peer or from the platform. A few
+ * entries of each availability zone watch the platform; the others get new versions from peers.
  */
 export class TableController {
-	/** What the platform was last seen to hold, if that is older than, or other than, what is in force. */
+	/** How the platform or a peer differs from the table in force: an older version, or another change of the same version. Shown in /status. */
 	divergence: string | undefined;
-	/** When the platform last answered, milliseconds since the epoch; 0: never. */
+	/** Time of the last successful read of the platform, milliseconds since the epoch; 0 if there was none. */
 	platformReadAt = 0;
 
 	private table: TableSnapshot | undefined;
@@ -58,7 +59,7 @@
 		return this.table?.head.changeId ?? '';
 	}
 
-	/** Tells whether this entry watches the platform for its zone. */
+	/** Sets whether this entry watches the platform for its availability zone. */
 	setWatcher(isWatcher: boolean, now: number): void {
 		if (isWatcher === this.isWatcher) {
 			return;
@@ -69,7 +70,7 @@
 		this.nextFetchAt = isWatcher ? now : now + pollIntervalMs;
 	}
 
-	/** Fetches from the platform when it is time: at the start, as a watcher, or after a long silence. */
+	/** Reads the table from the platform if a read is due: at the start, as a watcher without a running watch, or after the poll interval. */
 	tick(now: number): void {
 		if (!this.isFetching && now >= this.nextFetchAt && !(this.isWatcher && this.watchAbort)) {
 			this.isFetching = true;
@@ -79,14 +80,14 @@
 		}
 	}
 
-	/** Learns of a version that a peer or target holds; gives the wish to send back when it is newer. */
+	/** Notes the version that a peer or target holds; returns the request for its pages to send to it if the version is newer. */
 	noteVersion(version: number, changeId: string, now: number): MessageOf<'table-wanted'> | undefined {
 		if (version === this.version && changeId !== '' && changeId !== this.changeId) {
 			this.reportDivergence(`a peer holds another version ${version} (change ${changeId})`);
 		}
 
-		const isAsked = version <= this.requestedVersion && now - this.requestedAt < requestRetryMs;
-		if (version <= this.version || isAsked) {
+		const isRequested = version <= this.requestedVersion && now - this.requestedAt < requestRetryMs;
+		if (version <= this.version || isRequested) {
 			return undefined;
 		}
 
@@ -95,18 +96,18 @@
 		return {type: 'table-wanted', tableVersion: this.version, pages: [...this.pages.keys()]};
 	}
 
-	/** Answers a peer's wish with the head and the pages that it lacks. */
-	createOffer(wish: MessageOf<'table-wanted'>): LinkMessage | undefined {
-		if (!this.table || wish.tableVersion >= this.version) {
+	/** Creates the answer to a peer's request: the head and the pages that the peer lacks. Undefined if this entry has no newer version. */
+	createOffer(request: MessageOf<'table-wanted'>): LinkMessage | undefined {
+		if (!this.table || request.tableVersion >= this.version) {
 			return undefined;
 		}
 
-		const held = new Set(wish.pages);
+		const held = new Set(request.pages);
 		const pages = [...this.pages.values()].filter(({hash}) => !held.has(hash));
 		return {type: 'table-offered', head: JSON.stringify(this.table.head), pages};
 	}
 
-	/** Takes what a peer offered. */
+	/** Installs the version that a peer sent, if it is newer and no page is missing. */
 	applyOffer(offered: MessageOf<'table-offered'>): void {
 		const head = TableHead.safeParse(JSON.parse(offered.head));
 		if (!head.success || head.data.version <= this.version) {
@@ -124,7 +125,7 @@
 		}
 	}
 
-	/** Ends the watch. */
+	/** Ends the watch and stops reading the platform. */
 	close(): void {
 		this.watchAbort?.abort();
 		this.nextFetchAt = Number.POSITIVE_INFINITY;
@@ -151,7 +152,7 @@
 	}
 
 	private backOff(now: number, message: string): void {
-		this.options.log(`platform not read: ${message}`);
+		this.options.log(`reading the platform failed: ${message}`);
 		this.nextFetchAt = now + (this.backoffMs * (0.5 + this.options.random()));
 		this.backoffMs = Math.min(this.backoffMs * 2, maximumBackoffMs);
 	}
@@ -159,13 +160,13 @@
 	private async watchHead(revision: number, now: number): Promise<void> {
 		const abortController = new AbortController();
 		this.watchAbort = abortController;
-		const ended = await this.options.keyValue.watch(tableKeys.head, revision, change => {
+		const result = await this.options.keyValue.watch(tableKeys.head, revision, change => {
 			void this.applyHeadChange(change.value);
 		}, abortController.signal);
 		if (this.watchAbort === abortController) {
 			this.watchAbort = undefined;
 			this.nextFetchAt = Math.min(this.nextFetchAt, now + (initialBackoffMs * (0.5 + this.options.random())));
-			this.options.log(`watch ended: ${ended.isErr() ? ended.error.message : 'closed by the platform'}`);
+			this.options.log(`watch ended: ${result.isErr() ? result.error.message : 'closed by the platform'}`);
 		}
 	}
 
@@ -176,12 +177,12 @@
 			return;
 		}
 
-		// The pages could not be read now; the next fetch will, whether the watch lives or not.
-		this.options.log(`change not read: ${snapshot.error.message}`);
+		// The pages cannot be read now. Ending the watch makes the next fetch read them again.
+		this.options.log(`reading a changed table failed: ${snapshot.error.message}`);
 		this.watchAbort?.abort();
 	}
 
-	/* What the platform holds may be older than what is in force, if it was restored from a copy. */
+	/* The platform may hold an older version than the one in force if it was restored from a backup. */
 	private reconcile(snapshot: TableSnapshot | undefined): void {
 		const version = snapshot?.version ?? 0;
 		if (version < this.version) {
--- a/src/table/table-difference.ts
+++ b/src/table/table-difference.ts
@@ -1,6 +1,6 @@
 import {type Row} from './row.js';
 
-/** How one row differs between two tables; `before` is absent for an added row, `after` for a removed one. */
+/** The difference of one row between two tables; `before` is absent for an added row, `after` for a removed one. */
 export type TableDifference = {
 	readonly key: string;
 	readonly before: Row | undefined;
--- a/src/table/table-error.ts
+++ b/src/table/table-error.ts
@@ -1,13 +1,13 @@
 import {type TableConflict} from './table-conflict.js';
 
-/** Why a change of the table was not accepted, or why that is not known. */
+/** Failure of reading or changing the table, or an unknown outcome of a change. */
 export class TableError extends Error {
 	override readonly name = 'TableError';
 
 	/**
-	 * @param kind - `conflict` and `stale` changed nothing; `unavailable` changed nothing for want of the platform; `unknown` may have changed the table
+	 * @param kind - `conflict`, `stale` and `damaged`: the table was not changed; `unavailable`: not changed, as the platform could not be reached; `unknown`: the change may have been accepted
 	 * @param message - what happened
-	 * @param conflicts - the rows that two operators changed, for `conflict`
+	 * @param conflicts - the conflicting rows, for `conflict`
 	 */
 	constructor(
 		readonly kind: 'conflict' | 'unavailable' | 'unknown' | 'damaged' | 'stale',
--- a/src/table/table-page.ts
+++ b/src/table/table-page.ts
@@ -1,4 +1,4 @@
-/** An immutable page of rows; `hash` is the name that its text gives it. */
+/** An immutable page of rows, addressed by the hash of its text. */
 export type TablePage = {
 	readonly hash: string;
 	/** JSON array of rows. */
--- a/src/table/table-problem.ts
+++ b/src/table/table-problem.ts
@@ -1,8 +1,10 @@
-/** One thing wrong with a table file. */
+/** A validation problem in a table file. */
 export type TableProblem = {
-	/** Line of the file, from 1; the heading is line 1. */
+	/** Line number; the headings are line 1. */
 	readonly line: number;
+	/** Heading of the column; empty if the problem concerns the whole line. */
 	readonly column: string;
+	/** The invalid text; empty if there is none. */
 	readonly value: string;
 	readonly expectation: string;
 };
--- a/src/table/table-snapshot.ts
+++ b/src/table/table-snapshot.ts
@@ -5,14 +5,14 @@
 
 const wildcard = '*';
 
-/** One version of the table, ready for look-ups. */
+/** An immutable version of the table, indexed for lookups. */
 export class TableSnapshot {
 	private readonly rowByKey = new Map<string, Row>();
 	private readonly organisationByToken = new Map<string, string>();
 
 	/**
-	 * @param head - what names the version
-	 * @param pages - every page that the head names
+	 * @param head - head of the version
+	 * @param pages - every page that the head lists, by hash
 	 */
 	constructor(readonly head: TableHead, readonly pages: ReadonlyMap<string, TablePage>) {
 		for (const hash of head.pages) {
@@ -30,14 +30,14 @@
 		return [...this.rowByKey.values()];
 	}
 
-	/** The organisation that owns a bearer token, by the token's SHA-256. */
+	/** Finds the organisation that owns a bearer token, by the token's SHA-256 in hexadecimal. */
 	findOrganisation(tokenHash: string): string | undefined {
 		return this.organisationByToken.get(tokenHash);
 	}
 
 	/**
-	 * The most specific row: the one that names most of the three; among equals the service counts first, then the
-	 * organisation. No cell is taken from a less specific row.
+	 * Finds the most specific matching row: the one with the fewest wildcards. Among equals, a row that names the service
+	 * comes first, then one that names the organisation. Cells are not inherited from less specific rows.
 	 */
 	findRow(service: string, organisation: string, group: string): Row | undefined {
 		const names = [
--- a/src/table/write-pages.ts
+++ b/src/table/write-pages.ts
@@ -7,11 +7,12 @@
 import {tableKeys} from './table-keys.js';
 import {type TablePage} from './table-page.js';
 
+/** Attempts of one transaction while its outcome is unknown. */
 const maximumAttempts = 5;
-/** Pages written in one transaction; at 64 KB each it stays under the service's megabyte. */
+/** Pages per transaction; at about 64 KB each, it stays below the limit of 1 MB of the key-value service. */
 const pagesPerTransaction = 8;
 
-/* Pages alone change nothing, since no head names them yet; so a lost answer is met by writing again. */
+/* Pages have no effect until a head lists them, so a write whose answer was lost can be repeated. */
 const commitWithRetries = async (keyValue: KeyValue, puts: Transaction['puts']): Promise<Result<void, TableError>> => {
 	let message = '';
 	for (let attempt = 0; attempt < maximumAttempts; attempt++) {
@@ -30,9 +31,9 @@
 };
 
 /**
- * Writes the pages of a table that are not stored yet.
+ * Writes those pages of a table that the platform does not have yet.
  *
- * @param knownPages - pages that the platform has
+ * @param knownPages - pages that the platform already has
  * @returns the hashes of all pages, for the head
  */
 export async function writePages(keyValue: KeyValue, rows: readonly Row[], knownPages: ReadonlyMap<string, TablePage> = new Map()): Promise<Result<string[], TableError>> {
