--- a/src/cli/commands/explain.ts
+++ b/src/cli/commands/explain.ts
@@ -14,15 +14,15 @@
 	decisions: z.array(z.string()),
 });
 
-/** `explain REQUEST-ID` */
+/** `explain REQUEST-ID`: prints the decisions that an entry recorded for a request. */
 export class Explain extends OperatorCommand {
 	static override paths = [['explain']];
-	static override usage = Command.Usage({description: 'tell why a request went as it did; its id is in the answer\'s Wardswitch-Request-Id'});
+	static override usage = Command.Usage({description: 'show the decisions on a request; its id is in the header Wardswitch-Request-Id of the answer'});
 	id = Option.String();
 
 	async execute(): Promise<number> {
-		for (const entry of await this.findEntries()) {
-			const parsed = explanation.safeParse(await this.readPage(entry, `explain/${encodeURIComponent(this.id)}`));
+		for (const entry of await this.findEntryUrls()) {
+			const parsed = explanation.safeParse(await this.fetchAdminPage(entry, `explain/${encodeURIComponent(this.id)}`));
 			if (parsed.success) {
 				const {service, organisation, at, tookMs, outcome, tableVersion, decisions} = parsed.data;
 				this.print(parsed.data, [
@@ -33,7 +33,7 @@
 			}
 		}
 
-		this.complain(['no entry knows that request any more; each keeps its last 1000']);
+		this.printErrors(['no reachable entry has a record of that request; each entry keeps its last 1000']);
 		return exitCode.refused;
 	}
 }
--- a/src/cli/commands/table-diff.ts
+++ b/src/cli/commands/table-diff.ts
@@ -6,22 +6,22 @@
 import {OperatorCommand} from '../operator-command.js';
 import {readTableFile} from '../read-table-file.js';
 
-/** `table diff FILE` */
+/** `table diff FILE`: compares a table file with the stored table. */
 export class TableDiff extends OperatorCommand {
 	static override paths = [['table', 'diff']];
-	static override usage = Command.Usage({description: 'show how a table file differs from the table in the platform'});
+	static override usage = Command.Usage({description: 'show the differences between the table on the platform and a table file'});
 	file = Option.String();
 
 	async execute(): Promise<number> {
 		const table = readTableFile(this.file);
 		if (table.isErr()) {
-			this.complain(table.error);
+			this.printErrors(table.error);
 			return exitCode.refused;
 		}
 
 		const stored = await fetchTable(this.openKeyValue());
 		if (stored.isErr()) {
-			this.complain([stored.error.message]);
+			this.printErrors([stored.error.message]);
 			return exitCode.unavailable;
 		}
 
--- a/src/cli/operator-command.ts
+++ b/src/cli/operator-command.ts
@@ -8,14 +8,15 @@
 import {type Vm} from '../vm-list/vm.js';
 import {OperatorSettings} from './operator-settings.js';
 
-const defaultFile = 'wardswitch.toml';
+const defaultSettingsFile = 'wardswitch.toml';
+/** Timeout of each request to the platform and to entries, milliseconds. */
 const timeoutMs = 5000;
 
-/** What every command of an operator shares: settings, the platform, entries, and output for people or programs. */
+/** Base class of the commands that use the platform or entries: their common options, settings, access and output. */
 export abstract class OperatorCommand extends Command {
-	settingsFile = Option.String('--settings', {description: `settings file; ${defaultFile} by default`});
+	settingsFile = Option.String('--settings', {description: `settings file; ${defaultSettingsFile} by default`});
 	platformUrl = Option.String('--platform', {description: 'base URL of the key-value service'});
-	vmListUrl = Option.String('--vm-list', {description: 'URL of the list of VMs'});
+	vmListUrl = Option.String('--vm-list', {description: 'URL of the VM list'});
 	entryUrls = Option.Array('--entry', {description: 'admin URL of an entry; may be repeated'});
 	isJson = Option.Boolean('--json', false, {description: 'print JSON'});
 
@@ -35,7 +36,7 @@
 		return createEtcdKeyValue({url, timeoutMs, onCall: () => undefined});
 	}
 
-	protected async listVms(): Promise<readonly Vm[]> {
+	protected async fetchVms(): Promise<readonly Vm[]> {
 		const url = this.vmListUrl ?? this.getSettings().platform.vmList;
 		if (url === undefined) {
 			throw new UsageError('expected --vm-list URL, or platform.vmList in the settings');
@@ -49,19 +50,19 @@
 		return list.value.vms;
 	}
 
-	/** Admin URLs of entries: those given, or all that the list of VMs names. */
-	protected async findEntries(): Promise<string[]> {
+	/** Finds the admin URLs of entries: those of the options, else of the settings, else all in the VM list. */
+	protected async findEntryUrls(): Promise<string[]> {
 		const given = this.entryUrls ?? this.getSettings().entries;
 		if (given.length > 0) {
 			return given;
 		}
 
-		const vms = await this.listVms();
+		const vms = await this.fetchVms();
 		return vms.filter(vm => vm.role === 'entry' && vm.adminPort !== undefined).map(vm => `http://${vm.address}:${vm.adminPort}`);
 	}
 
-	/** Reads a page of an entry's admin server; undefined when it cannot be reached or knows nothing. */
-	protected async readPage(entry: string, page: string): Promise<unknown> {
+	/** Fetches a JSON document from an entry's admin server; undefined if the entry cannot be reached or does not answer with status 200. */
+	protected async fetchAdminPage(entry: string, page: string): Promise<unknown> {
 		try {
 			const answer = await request(`${entry}/${page}`, {headersTimeout: timeoutMs, bodyTimeout: timeoutMs});
 			const document = await answer.body.json();
@@ -71,22 +72,23 @@
 		}
 	}
 
-	/** Prints a document for programs, or lines for people. */
+	/** Prints the document as JSON with `--json`, else the lines. */
 	protected print(document: unknown, lines: readonly string[]): void {
 		const text = this.isJson ? JSON.stringify(document) : lines.join('\n');
 		this.context.stdout.write(`${text}\n`);
 	}
 
-	protected complain(lines: readonly string[]): void {
+	/** Prints lines to standard error. */
+	protected printErrors(lines: readonly string[]): void {
 		this.context.stderr.write(`${lines.join('\n')}\n`);
 	}
 
 	private loadSettings(): OperatorSettings {
-		if (this.settingsFile === undefined && !existsSync(defaultFile)) {
+		if (this.settingsFile === undefined && !existsSync(defaultSettingsFile)) {
 			return OperatorSettings.parse({});
 		}
 
-		const settings = readSettings(this.settingsFile ?? defaultFile, OperatorSettings);
+		const settings = readSettings(this.settingsFile ?? defaultSettingsFile, OperatorSettings);
 		if (settings.isErr()) {
 			throw new UsageError(settings.error.message);
 		}
--- a/src/entry/entry-controller.ts
+++ b/src/entry/entry-controller.ts
@@ -138,7 +138,7 @@
 			}
 
 			case 'table-wanted': {
-				const offered = table.offer(message);
+				const offered = table.createOffer(message);
 				if (offered) {
 					send(offered);
 				}
@@ -147,7 +147,7 @@
 			}
 
 			case 'table-offered': {
-				table.takeOffer(message);
+				table.applyOffer(message);
 				break;
 			}
 
@@ -176,8 +176,8 @@
 			table: {
 				version: table.version,
 				changeId: table.changeId,
-				platformAgeMs: table.platformAt === 0 ? undefined : now - table.platformAt,
-				trouble: table.trouble,
+				platformAgeMs: table.platformReadAt === 0 ? undefined : now - table.platformReadAt,
+				trouble: table.divergence,
 				isWatcher: this.isWatcher(now),
 			},
 			list: {vms: this.vmList?.vms.length ?? 0, ageMs: this.vmListAt === 0 ? undefined : now - this.vmListAt},
--- a/src/table/write-pages.ts
+++ b/src/table/write-pages.ts
@@ -7,14 +7,15 @@
 import {tableKeys} from './table-keys.js';
 import {type TablePage} from './table-page.js';
 
-const attempts = 5;
-/** Pages written in one transaction; at 64 KB each it stays under the service's megabyte. */
-const pagesPerWrite = 8;
+/** Attempts of one transaction while its outcome is unknown. */
+const maximumAttempts = 5;
+/** Pages per transaction; at about 64 KB each, it stays below the limit of 1 MB of the key-value service. */
+const pagesPerTransaction = 8;
 
-/* Pages alone change nothing, since no head names them yet; so a lost answer is met by writing again. */
-const writeAgain = async (keyValue: KeyValue, puts: Transaction['puts']): Promise<Result<void, TableError>> => {
+/* Pages have no effect until a head lists them, so a write whose answer was lost can be repeated. */
+const commitWithRetries = async (keyValue: KeyValue, puts: Transaction['puts']): Promise<Result<void, TableError>> => {
 	let message = '';
-	for (let attempt = 0; attempt < attempts; attempt++) {
+	for (let attempt = 0; attempt < maximumAttempts; attempt++) {
 		const answer = await keyValue.commit({conditions: [], puts});
 		if (answer.isOk()) {
 			return ok();
@@ -30,17 +31,17 @@
 };
 
 /**
- * Writes the pages of a table that are not stored yet.
+ * Writes those pages of a table that the platform does not have yet.
  *
- * @param known - pages that the platform has
+ * @param knownPages - pages that the platform already has
  * @returns the hashes of all pages, for the head
  */
-export async function writePages(keyValue: KeyValue, rows: readonly Row[], known: ReadonlyMap<string, TablePage> = new Map()): Promise<Result<string[], TableError>> {
+export async function writePages(keyValue: KeyValue, rows: readonly Row[], knownPages: ReadonlyMap<string, TablePage> = new Map()): Promise<Result<string[], TableError>> {
 	const pages = encodePages(rows);
-	const missing = pages.filter(({hash}) => !known.has(hash));
-	for (let start = 0; start < missing.length; start += pagesPerWrite) {
-		const puts = missing.slice(start, start + pagesPerWrite).map(({hash, text}) => ({key: tableKeys.page(hash), value: text}));
-		const answer = await writeAgain(keyValue, puts);
+	const missing = pages.filter(({hash}) => !knownPages.has(hash));
+	for (let start = 0; start < missing.length; start += pagesPerTransaction) {
+		const puts = missing.slice(start, start + pagesPerTransaction).map(({hash, text}) => ({key: tableKeys.page(hash), value: text}));
+		const answer = await commitWithRetries(keyValue, puts);
 		if (answer.isErr()) {
 			return err(answer.error);
 		}
