--- a/features/steps/admission-steps.ts
+++ b/features/steps/admission-steps.ts
@@ -6,21 +6,21 @@
 import path from 'node:path';
 import {Given, Then, When} from '@cucumber/cucumber';
 import {parse} from 'smol-toml';
-import {LoadBoard} from '../../src/balance/load-board.js';
+import {InFlightCounts} from '../../src/balance/in-flight-counts.js';
 import {admitStream} from '../../src/decisions/admit-stream.js';
-import {PauseForecast} from '../../src/decisions/pause-forecast.js';
+import {GapForecast} from '../../src/decisions/gap-forecast.js';
 import {type Route} from '../../src/fleet/route.js';
 import {TargetDirectory} from '../../src/fleet/target-directory.js';
 import {Target} from '../../src/fleet/target.js';
 import {StreamAdmission} from '../../src/forward/stream-admission.js';
 import {type LoadResult} from '../../src/model/load-result.js';
 import {LoadScenario} from '../../src/model/load-scenario.js';
-import {playLoad} from '../../src/model/play-load.js';
+import {simulateLoad} from '../../src/model/simulate-load.js';
 import {policies} from '../../src/model/policies.js';
 import {runCommand} from '../support/run-command.js';
 import {type SystemWorld} from '../support/system-world.js';
 
-type Played = {readonly with: readonly LoadResult[]; readonly without: readonly LoadResult[]};
+type Comparison = {readonly with: readonly LoadResult[]; readonly without: readonly LoadResult[]};
 
 const pace = {stepMs: 4.55, requestMs: 1.36, stepsPerEvent: 4};
 const targetGapMs = 120;
@@ -34,11 +34,11 @@
 	return sum / results.length;
 };
 
-const getPlayed = (world: SystemWorld): Played => world.notes.get('played') as Played;
-const getForecast = (world: SystemWorld): PauseForecast => world.notes.get('forecast') as PauseForecast;
-const getMost = (world: SystemWorld): number => getForecast(world).getMostLoad(targetGapMs, pace)!;
+const getComparison = (world: SystemWorld): Comparison => world.notes.get('played') as Comparison;
+const getForecast = (world: SystemWorld): GapForecast => world.notes.get('forecast') as GapForecast;
+const getMaximumLoad = (world: SystemWorld): number => getForecast(world).getMaximumLoad(targetGapMs, pace)!;
 
-const observe = (world: SystemWorld, gapMs: number, load: number, forMs: number): void => {
+const observePauses = (world: SystemWorld, gapMs: number, load: number, forMs: number): void => {
 	const end = (world.notes.get('now') as number) + forMs;
 	for (let now = world.notes.get('now') as number; now < end; now += gapMs) {
 		getForecast(world).observe({gapMs, load, pace}, now);
@@ -55,51 +55,51 @@
 	this.notes.set('scenario', {...this.notes.get('scenario') as LoadScenario, streamsPerSecond});
 });
 
-Given('demand that stands still', function (this: SystemWorld) {
+Given('demand that does not shift', function (this: SystemWorld) {
 	this.notes.set('scenario', {...this.notes.get('scenario') as LoadScenario, shift: undefined});
 });
 
-When('it is played with {int} seeds', function (this: SystemWorld, seeds: number) {
+When('the load is simulated with {int} seeds', function (this: SystemWorld, seeds: number) {
 	const scenario = this.notes.get('scenario') as LoadScenario;
-	const play = (policy: typeof policies.none): LoadResult[] => Array.from({length: seeds}, (_seed, index) => playLoad(scenario, index + 1, policy));
+	const play = (policy: typeof policies.none): LoadResult[] => Array.from({length: seeds}, (_seed, index) => simulateLoad(scenario, index + 1, policy));
 	this.notes.set('played', {with: play(policies.pauses), without: play(policies.none)});
 });
 
-Then('the worth is at least {float} above that without admission', function (this: SystemWorld, gain: number) {
-	const played = getPlayed(this);
+Then('the worth is at least {float} above that without admission control', function (this: SystemWorld, gain: number) {
+	const played = getComparison(this);
 	const [worth, before] = [mean(played.with, 'worth'), mean(played.without, 'worth')];
 	assert.ok(worth >= before + gain, `${worth} after ${before}`);
 });
 
-Then('nobody is refused twice', function (this: SystemWorld) {
-	assert.equal(mean(getPlayed(this).with, 'refused'), 0);
+Then('no caller is refused twice', function (this: SystemWorld) {
+	assert.equal(mean(getComparison(this).with, 'refused'), 0);
 });
 
 Given('passes of {int} ms with {int} requests at each target', function (this: SystemWorld, gapMs: number, load: number) {
-	this.notes.set('forecast', new PauseForecast());
+	this.notes.set('forecast', new GapForecast());
 	this.notes.set('now', 0);
 	this.notes.set('load', load);
-	observe(this, gapMs, load, 5000);
-	this.notes.set('most', getMost(this));
+	observePauses(this, gapMs, load, 5000);
+	this.notes.set('most', getMaximumLoad(this));
 });
 
 When('passes of {int} ms follow for {int} ms', function (this: SystemWorld, gapMs: number, forMs: number) {
-	observe(this, gapMs, this.notes.get('load') as number, forMs);
+	observePauses(this, gapMs, this.notes.get('load') as number, forMs);
 });
 
-Then('at least {int} in 100 of the requests before are admitted at each target', function (this: SystemWorld, share: number) {
+Then('at least {int} in 100 of the requests admitted before are admitted at each target', function (this: SystemWorld, share: number) {
 	const before = this.notes.get('most') as number;
-	assert.ok(getMost(this) >= before * share / 100, `${getMost(this)} after ${before}`);
+	assert.ok(getMaximumLoad(this) >= before * share / 100, `${getMaximumLoad(this)} after ${before}`);
 });
 
-Then('at most {int} in 100 of the requests before are admitted at each target', function (this: SystemWorld, share: number) {
+Then('at most {int} in 100 of the requests admitted before are admitted at each target', function (this: SystemWorld, share: number) {
 	const before = this.notes.get('most') as number;
-	assert.ok(getMost(this) <= before * share / 100, `${getMost(this)} after ${before}`);
+	assert.ok(getMaximumLoad(this) <= before * share / 100, `${getMaximumLoad(this)} after ${before}`);
 });
 
-Then('a forecast without observations admits a stream with {int} under way', (inFlight: number) => {
+Then('a forecast without observations admits a stream with {int} in flight', (inFlight: number) => {
 	const admission = admitStream({
-		forecast: new PauseForecast(), pace, targetGapMs, inFlight, targets: 12, isLate: false,
+		forecast: new GapForecast(), pace, targetGapMs, inFlight, targets: 12, isLate: false,
 	});
 	assert.equal(admission.kind, 'admitted');
 });
@@ -120,7 +120,7 @@
 	assert.ok(outcome.stderr.includes(key), outcome.stderr);
 });
 
-Then('a caller who has just asked is admitted where one who comes back is not', function (this: SystemWorld) {
+Then('a first request is admitted at a load at which a retry is not', function (this: SystemWorld) {
 	const targets = 12;
 	const admit = (inFlight: number, isLate: boolean): string => admitStream({
 		forecast: getForecast(this), pace, targetGapMs, inFlight, targets, isLate,
@@ -148,12 +148,12 @@
 const tickMs = 100;
 const routes: Readonly<Record<string, Route>> = {
 	'a stream': route,
-	'a stream without promise on pauses': {...route, targetGapMs: undefined},
+	'a stream without a limit on pauses': {...route, targetGapMs: undefined},
 	'a request in one piece': {...route, kind: 'idempotent'},
 };
 
-Given('an entry that has seen pauses of {int} ms, with {int} streams at each of {int} targets', function (this: SystemWorld, gapMs: number, streams: number, targets: number) {
-	const board = new LoadBoard();
+Given('an entry that has measured pauses of {int} ms, with {int} streams at each of {int} targets', function (this: SystemWorld, gapMs: number, streams: number, targets: number) {
+	const board = new InFlightCounts();
 	const directory = new TargetDirectory();
 	const list = Array.from({length: targets}, (_target, index) => Target.parse({
 		id: `t${index}`, service: 'desk', address: '10.0.0.1', port: 1000 + index, availabilityZone: 'a', slots: 8, isLeaving: false,
@@ -161,13 +161,13 @@
 	directory.replace(list, 0, false);
 	for (const {id} of list) {
 		for (let stream = 0; stream < streams; stream++) {
-			board.begin(id, 0);
+			board.noteStart(id, 0);
 		}
 	}
 
 	const refusing = new Set<string>();
 	const admission = new StreamAdmission({
-		board, listOpen: service => directory.list(service), isSound: ({id}) => !refusing.has(id), getService: name => ({name, maximumConnections: 100, pace}),
+		board, listAvailable: service => directory.list(service), isHealthy: ({id}) => !refusing.has(id), getService: name => ({name, maximumConnections: 100, pace}),
 	});
 	for (let now = 0; now < 2000; now += gapMs) {
 		admission.noteGap(list[0], gapMs);
@@ -179,51 +179,51 @@
 	});
 });
 
-When('{int} of them refuse what they are sent', function (this: SystemWorld, count: number) {
+When('{int} of them refuse requests', function (this: SystemWorld, count: number) {
 	const {list, refusing} = this.notes.get('entry') as {list: readonly Target[]; refusing: Set<string>};
 	for (const {id} of list.slice(0, count)) {
 		refusing.add(id);
 	}
 });
 
-When('a peer has {int} more at each of {int} others', function (this: SystemWorld, streams: number, count: number) {
-	const {board, list} = this.notes.get('entry') as {board: LoadBoard; list: readonly Target[]};
+When('a peer has {int} more streams at each of {int} others', function (this: SystemWorld, streams: number, count: number) {
+	const {board, list} = this.notes.get('entry') as {board: InFlightCounts; list: readonly Target[]};
 	board.merge('peer', Object.fromEntries(list.slice(-count).map(({id}) => [id, streams])), 2000);
 });
 
-Given('a peer with {int} more at each target', function (this: SystemWorld, streams: number) {
-	const {board, list} = this.notes.get('entry') as {board: LoadBoard; list: readonly Target[]};
+Given('a peer with {int} more streams at each target', function (this: SystemWorld, streams: number) {
+	const {board, list} = this.notes.get('entry') as {board: InFlightCounts; list: readonly Target[]};
 	board.merge('peer', Object.fromEntries(list.map(({id}) => [id, streams])), 2000);
 });
 
-Then('asking for {string} is {string}', function (this: SystemWorld, what: string, answer: string) {
+Then('a request for {string} is {string}', function (this: SystemWorld, what: string, answer: string) {
 	const {admission, list} = this.notes.get('entry') as {admission: StreamAdmission; list: readonly Target[]};
-	const reason = admission.findRoom(list, routes[what], 8000, 2000).refusal;
+	const reason = admission.findTargetsWithRoom(list, routes[what], 8000, 2000).refusal;
 	assert.equal(reason === undefined ? 'admitted' : 'refused', answer, reason);
 	assert.ok(reason === undefined || reason.includes('84 streams under way'), reason);
 });
 
-Then('a stream is {string}, by what the others have under way', function (this: SystemWorld, answer: string) {
+Then('a stream is {string}, by the load of the others', function (this: SystemWorld, answer: string) {
 	const {admission, list} = this.notes.get('entry') as {admission: StreamAdmission; list: readonly Target[]};
-	const reason = admission.findRoom(list, route, 8000, 2000).refusal;
+	const reason = admission.findTargetsWithRoom(list, route, 8000, 2000).refusal;
 	assert.equal(reason === undefined ? 'admitted' : 'refused', answer, reason);
 	assert.ok(reason === undefined || reason.includes('36 streams under way'), reason);
 });
 
-Given('an entry that has seen pauses of {int} ms in one group of {int} targets and of {int} ms in another', function (this: SystemWorld, evenMs: number, targets: number, unevenMs: number) {
-	const board = new LoadBoard();
+Given('an entry that has measured pauses of {int} ms in one group of {int} targets and of {int} ms in another', function (this: SystemWorld, evenMs: number, targets: number, unevenMs: number) {
+	const board = new InFlightCounts();
 	const directory = new TargetDirectory();
 	const list = ['even', 'uneven'].flatMap((group, half) => Array.from({length: targets}, (_target, index) => Target.parse({
 		id: `${group}-${index}`, service: 'desk', group, address: '10.0.0.1', port: 1000 + (half * targets) + index, availabilityZone: 'a', slots: 8, isLeaving: false,
 	})));
 	directory.replace(list, 0, false);
 	for (const {id} of list) {
-		board.begin(id, 0);
-		board.begin(id, 0);
+		board.noteStart(id, 0);
+		board.noteStart(id, 0);
 	}
 
 	const admission = new StreamAdmission({
-		board, listOpen: service => directory.list(service), isSound: () => true, getService: name => ({name, maximumConnections: 100, pace}),
+		board, listAvailable: service => directory.list(service), isHealthy: () => true, getService: name => ({name, maximumConnections: 100, pace}),
 	});
 	for (let now = 0; now < 2000; now += tickMs) {
 		admission.noteGap(list[0], evenMs);
@@ -236,7 +236,7 @@
 
 Then('a stream may go to targets of the {word} group only', function (this: SystemWorld, group: string) {
 	const {admission, list} = this.notes.get('entry') as {admission: StreamAdmission; list: readonly Target[]};
-	const {targets} = admission.findRoom(list, route, 8000, 2000);
+	const {targets} = admission.findTargetsWithRoom(list, route, 8000, 2000);
 	assert.deepEqual([...new Set(targets.map(target => target.group))], [group]);
 	assert.equal(targets.length, list.length / 2);
 });
--- a/features/steps/directory-steps.ts
+++ b/features/steps/directory-steps.ts
@@ -44,7 +44,7 @@
 Then('no target is used {int} ms after', function (this: SystemWorld, ms: number) {
 	const directory = this.notes.get('directory') as TargetDirectory;
 	const intervalMs = this.notes.get('lookMs') as number;
-	// The looks fall just after the moments that matter.
+	// The checks fall just after the deadlines.
 	for (let passedMs = -1; passedMs <= ms; passedMs += intervalMs) {
 		directory.expire(10_000 + passedMs);
 	}
@@ -58,7 +58,7 @@
 });
 
 When('target 3 is found to be gone', function (this: SystemWorld) {
-	(this.notes.get('directory') as TargetDirectory).drop(makeTarget(3));
+	(this.notes.get('directory') as TargetDirectory).markGone(makeTarget(3));
 });
 
 Then('only targets {int} and {int} are used', function (this: SystemWorld, one: number, other: number) {
@@ -69,7 +69,7 @@
 	const directory = new TargetDirectory();
 	const target = {...makeTarget(1), bornAt};
 	directory.replace([target], 0, false);
-	directory.drop(target);
+	directory.markGone(target);
 	this.notes.set('directory', directory);
 	this.notes.set('former life', target);
 });
@@ -81,7 +81,7 @@
 });
 
 When('a late answer tells again that its former life is gone', function (this: SystemWorld) {
-	(this.notes.get('directory') as TargetDirectory).drop(this.notes.get('former life') as ReturnType<typeof makeTarget>);
+	(this.notes.get('directory') as TargetDirectory).markGone(this.notes.get('former life') as ReturnType<typeof makeTarget>);
 });
 
 Then('it is used at port {int}, and what was kept for its former life is dropped', function (this: SystemWorld, port: number) {
@@ -102,7 +102,7 @@
 When('the planner of {string} lists {string} and {string} in epoch {int}, beside one that cannot be read', function (this: SystemWorld, group: string, one: string, other: string, epoch: number) {
 	const formed = (this.notes.get('index') as GroupIndex).replace([
 		{key: groupKeys.make('desk', group), value: JSON.stringify({epoch, engines: [one, other]}), revision: epoch},
-		{key: groupKeys.make('desk', 'spoilt'), value: '{', revision: epoch},
+		{key: groupKeys.make('desk', 'invalid'), value: '{', revision: epoch},
 		{key: groupKeys.make('desk', 'partial'), value: JSON.stringify({engines: [other]}), revision: epoch},
 	]);
 	this.notes.set('formed', formed);
--- a/features/steps/stall-steps.ts
+++ b/features/steps/stall-steps.ts
@@ -3,20 +3,20 @@
 import {Socket} from 'node:net';
 import {Given, Then, When} from '@cucumber/cucumber';
 import {type Result} from 'neverthrow';
-import {LoadBoard} from '../../src/balance/load-board.js';
+import {InFlightCounts} from '../../src/balance/in-flight-counts.js';
 import {ProbeBudget} from '../../src/balance/probe-budget.js';
-import {RepeatBudget} from '../../src/balance/repeat-budget.js';
-import {ServiceGate} from '../../src/balance/service-gate.js';
+import {SharedRetryBudget} from '../../src/balance/shared-retry-budget.js';
+import {ServiceBreaker} from '../../src/balance/service-breaker.js';
 import {TargetHealth} from '../../src/balance/target-health.js';
-import {getUnit} from '../../src/fleet/get-unit.js';
+import {getFailureDomain} from '../../src/fleet/get-failure-domain.js';
 import {TargetDirectory} from '../../src/fleet/target-directory.js';
 import {type Target} from '../../src/fleet/target.js';
-import {CrashWatch} from '../../src/forward/crash-watch.js';
+import {CrashDetector} from '../../src/forward/crash-detector.js';
 import {ForwardDispatcher} from '../../src/forward/forward-dispatcher.js';
 import {ForwardExchange} from '../../src/forward/forward-exchange.js';
 import {StreamAdmission} from '../../src/forward/stream-admission.js';
-import {TargetBook} from '../../src/forward/target-book.js';
-import {StallWatch} from '../../src/forward/stall-watch.js';
+import {TargetTracker} from '../../src/forward/target-tracker.js';
+import {StallDetector} from '../../src/forward/stall-detector.js';
 import {type Problem} from '../../src/requests/problem.js';
 import {type SystemWorld} from '../support/system-world.js';
 
@@ -37,22 +37,22 @@
 	isResumable: true,
 };
 
-/** Streams at one target, watched by a clock that the scenario moves. */
+/** Streams at one target, watched by a stall detector whose clock the scenario advances. */
 class Streams {
 	now = 0;
 	readonly dropped: string[] = [];
 	readonly stopped = new Set<string>();
-	/** Events between which the service was taken for stopped. */
+	/** Gaps between events during which the service was considered stopped. */
 	timesStopped = 0;
 	readonly aborts: AbortController[] = [];
-	readonly heldUp: boolean[] = [];
-	private readonly board = new LoadBoard();
-	private readonly watch = new StallWatch({
+	readonly waitingForCaller: boolean[] = [];
+	private readonly board = new InFlightCounts();
+	private readonly detector = new StallDetector({
 		board: this.board,
 		health: new TargetHealth(),
 		clock: () => this.now,
 		log() {
-			// Nothing is looked for in the log.
+			// The log is not checked here.
 		},
 		onSilentConnection: id => {
 			this.dropped.push(id);
@@ -62,21 +62,21 @@
 		},
 	});
 
-	private readonly watches: Array<ReturnType<StallWatch['watch']>> = [];
+	private readonly watches: Array<ReturnType<StallDetector['watch']>> = [];
 
 	constructor(streams: number) {
 		for (let index = 0; index < streams; index++) {
 			const abort = new AbortController();
 			this.aborts.push(abort);
-			this.heldUp.push(false);
-			this.board.begin(target.id, this.now);
-			this.watches.push(this.watch.watch({target, abort, isHeldUp: () => this.heldUp[index]}));
+			this.waitingForCaller.push(false);
+			this.board.noteStart(target.id, this.now);
+			this.watches.push(this.detector.watch({target, abort, isWaitingForCaller: () => this.waitingForCaller[index]}));
 		}
 	}
 
 	progress(index: number): void {
-		this.board.progress(target.id, this.now);
-		this.watches[index].progress();
+		this.board.noteProgress(target.id, this.now);
+		this.watches[index].noteProgress();
 	}
 
 	pass(ms: number, live: readonly number[]): void {
@@ -85,7 +85,7 @@
 				this.progress(index);
 			}
 
-			this.watch.tick();
+			this.detector.tick();
 		}
 	}
 }
@@ -127,17 +127,17 @@
 	}
 });
 
-Then('the service is taken for stopped at most {int} times', function (this: SystemWorld, most: number) {
+Then('the service is considered stopped at most {int} times', function (this: SystemWorld, most: number) {
 	const {timesStopped} = getStreams(this);
 	assert.ok(timesStopped <= most, String(timesStopped));
 });
 
-Then('the service {word} known to have stopped', function (this: SystemWorld, known: string) {
-	assert.equal(getStreams(this).stopped.has(target.service), known === 'is');
+Then('the service {word} considered stopped', function (this: SystemWorld, verb: string) {
+	assert.equal(getStreams(this).stopped.has(target.service), verb === 'is');
 });
 
 Given('the caller of the second does not read', function (this: SystemWorld) {
-	getStreams(this).heldUp[1] = true;
+	getStreams(this).waitingForCaller[1] = true;
 });
 
 When('one gets an event each 50 ms and the other none, for {int} ms', function (this: SystemWorld, ms: number) {
@@ -148,51 +148,51 @@
 	getStreams(this).pass(ms, []);
 });
 
-Then('only the silent one is ended, and idle connections to that target are dropped', function (this: SystemWorld) {
+Then('only the silent one is aborted, and idle connections to that target are closed', function (this: SystemWorld) {
 	const {aborts, dropped} = getStreams(this);
 	assert.deepEqual(aborts.map(({signal}) => signal.aborted), [false, true]);
 	assert.ok(dropped.includes(target.id));
 });
 
-Then('neither is ended', function (this: SystemWorld) {
+Then('neither is aborted', function (this: SystemWorld) {
 	const {aborts, dropped} = getStreams(this);
 	assert.deepEqual(aborts.map(({signal}) => signal.aborted), [false, false]);
 	assert.deepEqual(dropped, []);
 });
 
 Given('a service that has been down for {int} ms', function (this: SystemWorld, ms: number) {
-	const gate = new ServiceGate(String);
-	gate.close(route.destinations[0].service, -ms, 'as the scenario says');
+	const gate = new ServiceBreaker(String);
+	gate.noteDown(route.destinations[0].service, -ms, 'as the scenario says');
 	this.notes.set('gate', gate);
 });
 
-/* Lets a caller with 5 of 8 seconds left ask, and gives the way its request ends. */
-const ask = async (world: SystemWorld, hasLeft: boolean, targets: readonly Target[] = [target]): Promise<void> => {
+/* Sends a request of a caller that has 5 of 8 seconds left, and notes its result and the targets it was sent to. */
+const dispatch = async (world: SystemWorld, hasDisconnected: boolean, targets: readonly Target[] = [target]): Promise<void> => {
 	const sent: string[] = [];
 	const clock = (): number => 0;
-	const board = new LoadBoard();
-	const book = new TargetBook({
+	const board = new InFlightCounts();
+	const tracker = new TargetTracker({
 		electEntry: () => '',
-		address: '', listPeers: () => [], countRegistered: () => 1, ask: () => false, clock, countInFlight: () => 0, onRefusal: String, onLeave: String, log: String,
+		address: '', listPeers: () => [], countRegistered: () => 1, sendToPeer: () => false, clock, countInFlight: () => 0, onRefusal: String, onLeave: String, log: String,
 	});
-	const {directory, health} = book;
+	const {directory, health} = tracker;
 	directory.replace(targets, 0, false);
 	const dispatcher = new ForwardDispatcher({
 		async send(options) {
 			sent.push(options.target.id);
-			return {kind: 'lost', reason: 'not looked at'};
+			return {kind: 'lost', reason: 'not checked here'};
 		},
-		book,
-		crashes: new CrashWatch({
-			check: async () => 'listens', health, isElected: () => true, onFound: String, clock, log: String,
+		tracker,
+		crashes: new CrashDetector({
+			check: async () => 'listens', health, isElected: () => true, onCrashFound: String, clock, log: String,
 		}),
 		board,
-		gate: world.notes.get('gate') as ServiceGate,
+		gate: world.notes.get('gate') as ServiceBreaker,
 		probes: new ProbeBudget(),
-		budget: new RepeatBudget({
+		budget: new SharedRetryBudget({
 			ratio: 0.2, slack: 90, windowMs: 10_000, countEntries: () => 1,
 		}),
-		stalls: new StallWatch({
+		stalls: new StallDetector({
 			board,
 			health,
 			clock,
@@ -201,7 +201,7 @@
 			onStopped: String,
 		}),
 		admission: new StreamAdmission({
-			board, listOpen: service => directory.list(service), isSound: () => true, getService: () => undefined,
+			board, listAvailable: service => directory.list(service), isHealthy: () => true, getService: () => undefined,
 		}),
 		availabilityZone: 'a',
 		clock,
@@ -214,28 +214,28 @@
 		incoming,
 		response: new ServerResponse(incoming),
 		arrivedAt: 0,
-		marks: {id: 'the-request', deadlineMs: 5000, lastEventId: undefined},
-		isAllowedToKeepOpen: () => true,
+		metadata: {id: 'the-request', deadlineMs: 5000, lastEventId: undefined},
+		mayKeepAlive: () => true,
 	});
 	exchange.route = route;
 	exchange.deadline = 5000;
-	if (hasLeft) {
-		exchange.departure.abort();
+	if (hasDisconnected) {
+		exchange.disconnection.abort();
 	}
 
 	world.notes.set('result', await dispatcher.run(exchange));
 	world.notes.set('sent', sent);
 };
 
-When('a caller that has come back leaves before its request is sent', async function (this: SystemWorld) {
-	await ask(this, true);
+When('a caller that retries disconnects before its request is sent', async function (this: SystemWorld) {
+	await dispatch(this, true);
 });
 
-When('a caller that has come back asks', async function (this: SystemWorld) {
-	await ask(this, false);
+When('a caller retries', async function (this: SystemWorld) {
+	await dispatch(this, false);
 });
 
-Then('it is told at once that its request did not run, and when to come back', function (this: SystemWorld) {
+Then('it is told at once that its request did not run, and when to retry', function (this: SystemWorld) {
 	const result = this.notes.get('result') as Result<void, Problem>;
 	const {options} = result._unsafeUnwrapErr();
 	assert.equal(options.status, 503);
@@ -247,16 +247,16 @@
 	assert.deepEqual(this.notes.get('sent'), []);
 });
 
-When('one request has been let through', function (this: SystemWorld) {
-	assert.ok((this.notes.get('gate') as ServiceGate).admit(target.service, 0));
+When('one request has been admitted as a probe', function (this: SystemWorld) {
+	assert.ok((this.notes.get('gate') as ServiceBreaker).admit(target.service, 0));
 });
 
-When('the first has met a target that is gone', function (this: SystemWorld) {
-	(this.notes.get('gate') as ServiceGate).excuse(target.service, 1);
+When('the first has reached a target that is gone', function (this: SystemWorld) {
+	(this.notes.get('gate') as ServiceBreaker).allowNextProbe(target.service, 1);
 });
 
-Then('the next {word} let through', function (this: SystemWorld, isLet: string) {
-	assert.equal((this.notes.get('gate') as ServiceGate).admit(target.service, 1), isLet === 'is');
+Then('the next {word} admitted', function (this: SystemWorld, verb: string) {
+	assert.equal((this.notes.get('gate') as ServiceBreaker).admit(target.service, 1), verb === 'is');
 });
 
 const members = (group: string): Target[] => [1, 2].map(number => ({
@@ -264,22 +264,22 @@
 }));
 
 Given('a service of two groups, the first of which has stopped {int} ms ago', function (this: SystemWorld, ms: number) {
-	const gate = new ServiceGate(String);
-	gate.close(getUnit(members('first')[0]), -ms, 'as the scenario says');
+	const gate = new ServiceBreaker(String);
+	gate.noteDown(getFailureDomain(members('first')[0]), -ms, 'as the scenario says');
 	this.notes.set('gate', gate);
 	this.notes.set('targets', [...members('first'), ...members('second')]);
 });
 
 Given('the second has stopped as well', function (this: SystemWorld) {
-	(this.notes.get('gate') as ServiceGate).close(getUnit(members('second')[0]), 0, 'as the scenario says');
+	(this.notes.get('gate') as ServiceBreaker).noteDown(getFailureDomain(members('second')[0]), 0, 'as the scenario says');
 });
 
-Given('the first has been formed anew', function (this: SystemWorld) {
-	(this.notes.get('gate') as ServiceGate).open(getUnit(members('first')[0]), 0);
+Given('the first has been formed again', function (this: SystemWorld) {
+	(this.notes.get('gate') as ServiceBreaker).noteRunning(getFailureDomain(members('first')[0]), 0);
 });
 
 When('a caller asks for the service', async function (this: SystemWorld) {
-	await ask(this, false, this.notes.get('targets') as Target[]);
+	await dispatch(this, false, this.notes.get('targets') as Target[]);
 });
 
 Then('its request is sent to a target of the {word} group first', function (this: SystemWorld, group: string) {
--- a/features/steps/table-steps.ts
+++ b/features/steps/table-steps.ts
@@ -17,10 +17,10 @@
 const folder = mkdtempSync(path.join(tmpdir(), 'wardswitch-features-'));
 const file = path.join(folder, 'table.csv');
 
-const getAddresses = (world: SystemWorld): string[] => ['--platform', world.system.platform.url, '--vm-list', world.system.vmList.url];
+const getConnectionOptions = (world: SystemWorld): string[] => ['--platform', world.system.platform.url, '--vm-list', world.system.vmList.url];
 
 const exportTable = async (world: SystemWorld): Promise<string> => {
-	const {stdout} = await runCommand(['table', 'get', ...getAddresses(world)]);
+	const {stdout} = await runCommand(['table', 'get', ...getConnectionOptions(world)]);
 	return stdout;
 };
 
@@ -28,9 +28,9 @@
 	.map(line => line.startsWith(`*,${organisation},`) ? line.replace(/^(?<key>[^,]*,[^,]*,[^,]*),[^,]*/v, `$<key>,${weight}`) : line)
 	.join('\n');
 
-const apply = async (world: SystemWorld, csv: string): Promise<void> => {
+const applyTable = async (world: SystemWorld, csv: string): Promise<void> => {
 	writeFileSync(file, csv);
-	world.notes.set('outcome', await runCommand(['table', 'apply', file, '--change', 'the-change', ...getAddresses(world)]));
+	world.notes.set('outcome', await runCommand(['table', 'apply', file, '--change', 'the-change', ...getConnectionOptions(world)]));
 };
 
 const getOutcome = (world: SystemWorld): Outcome => world.notes.get('outcome') as Outcome;
@@ -38,16 +38,16 @@
 const findWeight = (table: TableSnapshot | undefined, organisation: string): number | undefined => table?.findRow('any', organisation, 'any')?.weight;
 
 When('an operator sets the weight of {string} to {int}', async function (this: SystemWorld, organisation: string, weight: number) {
-	await apply(this, setWeight(await exportTable(this), organisation, weight));
+	await applyTable(this, setWeight(await exportTable(this), organisation, weight));
 });
 
 When('an operator sets the weight of {string} to {int} from a file', async function (this: SystemWorld, organisation: string, weight: number) {
-	await apply(this, setWeight(tokens.table, organisation, weight));
+	await applyTable(this, setWeight(tokens.table, organisation, weight));
 });
 
 When('an operator removes {string} from the table', async function (this: SystemWorld, organisation: string) {
 	const csv = await exportTable(this);
-	await apply(this, csv.split('\n').filter(line => !line.startsWith(`*,${organisation},`)).join('\n'));
+	await applyTable(this, csv.split('\n').filter(line => !line.startsWith(`*,${organisation},`)).join('\n'));
 });
 
 Given('two operators have exported the table', async function (this: SystemWorld) {
@@ -56,36 +56,36 @@
 
 When(/^the (?:first|second) operator sets the weight of "([^"]+)" to (\d+)$/, async function (this: SystemWorld, organisation: string, weight: string) { // eslint-disable-line require-unicode-regexp
 	writeFileSync(file, setWeight(this.notes.get('exported') as string, organisation, Number(weight)));
-	this.notes.set('outcome', await runCommand(['table', 'apply', file, ...getAddresses(this)]));
+	this.notes.set('outcome', await runCommand(['table', 'apply', file, ...getConnectionOptions(this)]));
 });
 
 When('an operator applies this table:', async function (this: SystemWorld, csv: string) {
-	await apply(this, csv);
+	await applyTable(this, csv);
 });
 
 When('an operator applies a table based on the restored platform', async function (this: SystemWorld) {
 	writeFileSync(file, setWeight(await exportTable(this), 'marble', 9));
-	this.notes.set('outcome', await runCommand(['table', 'apply', file, ...getAddresses(this)]));
+	this.notes.set('outcome', await runCommand(['table', 'apply', file, ...getConnectionOptions(this)]));
 });
 
 When('an operator restores the table', async function (this: SystemWorld) {
-	this.notes.set('outcome', await runCommand(['table', 'restore', ...getAddresses(this)]));
+	this.notes.set('outcome', await runCommand(['table', 'restore', ...getConnectionOptions(this)]));
 });
 
-Then('the command says {string} and exits with {int}', function (this: SystemWorld, text: string, code: number) {
+Then('the command prints {string} and exits with {int}', function (this: SystemWorld, text: string, code: number) {
 	const outcome = getOutcome(this);
 	assert.ok(outcome.stdout.includes(text), outcome.stdout + outcome.stderr);
 	assert.equal(outcome.code, code);
 });
 
-Then('the command complains of {string} and exits with {int}', function (this: SystemWorld, text: string, code: number) {
+Then('the command reports the error {string} and exits with {int}', function (this: SystemWorld, text: string, code: number) {
 	const outcome = getOutcome(this);
 	assert.ok(outcome.stderr.includes(text), outcome.stdout + outcome.stderr);
 	assert.equal(outcome.code, code);
 });
 
-Then('asking for that change says {string} and exits with {int}', async function (this: SystemWorld, text: string, code: number) {
-	const outcome = await runCommand(['table', 'status', 'the-change', ...getAddresses(this)]);
+Then('looking up that change prints {string} and exits with {int}', async function (this: SystemWorld, text: string, code: number) {
+	const outcome = await runCommand(['table', 'status', 'the-change', ...getConnectionOptions(this)]);
 	assert.ok(outcome.stdout.includes(text), outcome.stdout + outcome.stderr);
 	assert.equal(outcome.code, code);
 });
@@ -119,7 +119,7 @@
 	});
 };
 
-Given('the platform loses the answers to the next write of pages and of the head', function (this: SystemWorld) {
+Given('the platform loses the answers to the next writes of pages and of the head', function (this: SystemWorld) {
 	const {faults} = this.system.platform;
 	faults.lostAnswers = 1;
 	onHeadWritten(this, () => {
@@ -127,7 +127,7 @@
 	});
 });
 
-Given('the platform takes the next change of the table and goes down', function (this: SystemWorld) {
+Given('the platform accepts the next change of the table and goes down before it answers', function (this: SystemWorld) {
 	const {faults} = this.system.platform;
 	onHeadWritten(this, () => {
 		faults.lostAnswers = 1;
@@ -179,6 +179,6 @@
 	await this.system.startEntry('late-entry', zone);
 });
 
-When('the platform answers at once again', function (this: SystemWorld) {
+When('the platform answers without delay again', function (this: SystemWorld) {
 	this.system.platform.faults.delayMs = 0;
 });
--- a/features/support/rank-fleet.ts
+++ b/features/support/group-harness.ts
@@ -4,37 +4,37 @@
 import {BalanceSettings} from '../../src/expert-balance/balance-settings.js';
 import {GroupController} from '../../src/expert-balance/group-controller.js';
 import {type RankEngine} from '../../src/expert-balance/rank-engine.js';
-import {RankMember} from '../../src/expert-balance/rank-member.js';
+import {RankAgent} from '../../src/expert-balance/rank-agent.js';
 import {type RankOrder} from '../../src/expert-balance/rank-order.js';
 import {type LinkMessage} from '../../src/link/link-message.js';
 import {LockstepGroup} from '../../stand-ins/engine/lockstep-group.js';
 
-type Planner = {readonly term: number; readonly rank: number; readonly controller: GroupController; readonly aheadMs: number; isAlive: boolean; isFrozen: boolean};
+type Planner = {readonly term: number; readonly rank: number; readonly controller: GroupController; readonly clockOffsetMs: number; isAlive: boolean; isSuspended: boolean};
 
 const turnMs = 20;
 const shape = {
 	ranks: 4, layers: 2, experts: 8, slots: 3, maximumNew: 2,
 };
 
-/** A group with the processes beside its ranks and one planner or more, joined in memory; the scenario decides what fails. */
-export class RankFleet {
+/** A lock-step group with its rank agents and one planner or more, connected in memory; the scenario injects the faults. */
+export class GroupHarness {
 	now = 0;
 	readonly group: LockstepGroup;
 	readonly log: string[] = [];
 	readonly planners: Planner[] = [];
 	/** Share of the messages between processes that are lost. */
 	lossShare = 0;
-	/** Members that stand still. */
-	readonly frozen = new Set<number>();
+	/** Ranks whose VM is suspended. */
+	readonly suspended = new Set<number>();
 	readonly random: () => number;
-	/** Whether an entry is there to give orders for planners, and how many it gave. */
+	/** Whether an entry forwards planners' orders, and how many it has forwarded. */
 	hasEntry = false;
-	orderedAside = 0;
-	/** Time that a message between processes takes, milliseconds. */
+	ordersViaEntry = 0;
+	/** Latency of a message between processes, milliseconds. */
 	latencyMs = 0;
-	private readonly members: RankMember[] = [];
-	private waiting: Array<{readonly dueAt: number; readonly isHere: () => boolean; readonly take: () => void}> = [];
-	/** Planner that each member reports to. */
+	private readonly agents: RankAgent[] = [];
+	private inTransit: Array<{readonly dueAt: number; readonly canReceive: () => boolean; readonly deliver: () => void}> = [];
+	/** Planner to which each agent reports. */
 	private readonly followed: Array<Planner | undefined> = [];
 
 	constructor(seed: number, passMs = 60) {
@@ -44,23 +44,23 @@
 			shape, passMs, random: this.random, lateShare: 0, unansweredShare: 0,
 		});
 		for (let rank = 0; rank < shape.ranks; rank++) {
-			this.restartMember(rank);
+			this.restartAgent(rank);
 		}
 	}
 
 	/**
-	 * Begins a term of office beside a rank; the members hear of it when `follow` says so.
+	 * Starts a planner for a new term on a rank's VM; agents learn of it by `follow`.
 	 *
-	 * @param aheadMs - how far the planner's clock is ahead of the others'
+	 * @param clockOffsetMs - how far the planner's clock is ahead of the others'
 	 */
-	elect(rank: number, aheadMs = 0): Planner {
+	startPlanner(rank: number, clockOffsetMs = 0): Planner {
 		const term = this.planners.length + 1;
 		const planner: Planner = {
 			term,
 			rank,
-			aheadMs,
+			clockOffsetMs,
 			isAlive: true,
-			isFrozen: false,
+			isSuspended: false,
 			controller: new GroupController({
 				group: 'group',
 				term,
@@ -68,9 +68,9 @@
 				settings: BalanceSettings.parse({}),
 				getShape: () => shape,
 				send: (to, message) => this.deliver(planner, to, message),
-				giveAside: (address, order) => this.giveAside(Number(address), order),
+				orderViaEntry: (address, order) => this.orderViaEntry(Number(address), order),
 				listEngines: async () => ['0', '1', '2', '3'],
-				openEngine: address => this.openFromAfar(Number(address)),
+				openEngine: address => this.openRemotely(Number(address)),
 				log: line => {
 					this.log.push(`${this.now} term ${term}: ${line}`);
 				},
@@ -80,20 +80,20 @@
 		return planner;
 	}
 
-	/** Lets a member know who is in office. */
+	/** Makes an agent follow a planner. */
 	follow(rank: number, planner: Planner): void {
 		this.followed[rank] = planner;
-		this.members[rank].hearTerm(planner.term);
+		this.agents[rank].recordTerm(planner.term);
 	}
 
 	followAll(planner: Planner): void {
-		for (const rank of this.members.keys()) {
+		for (const rank of this.agents.keys()) {
 			this.follow(rank, planner);
 		}
 	}
 
-	restartMember(rank: number): void {
-		this.members[rank] = new RankMember({
+	restartAgent(rank: number): void {
+		this.agents[rank] = new RankAgent({
 			engine: this.group.open(rank),
 			engineAddress: String(rank),
 			clock: () => this.now,
@@ -104,27 +104,27 @@
 		});
 		const planner = this.followed[rank];
 		if (planner) {
-			this.members[rank].hearTerm(planner.term);
+			this.agents[rank].recordTerm(planner.term);
 		}
 	}
 
-	/** Lets time pass. */
+	/** Advances the simulated clock. */
 	async run(ms: number, cause?: () => void): Promise<void> {
 		const end = this.now + ms;
 		while (this.now < end) {
 			this.now += turnMs;
 			cause?.();
 			this.group.advance(this.now);
-			this.deliverWaiting();
-			for (const [rank, member] of this.members.entries()) {
-				if (!this.frozen.has(rank)) {
+			this.deliverDue();
+			for (const [rank, member] of this.agents.entries()) {
+				if (!this.suspended.has(rank)) {
 					void member.tick(this.now);
 				}
 			}
 
 			for (const planner of this.planners) {
-				if (planner.isAlive && !planner.isFrozen) {
-					void planner.controller.tick(this.now + planner.aheadMs);
+				if (planner.isAlive && !planner.isSuspended) {
+					void planner.controller.tick(this.now + planner.clockOffsetMs);
 				}
 			}
 
@@ -132,22 +132,22 @@
 		}
 	}
 
-	/* An entry's VM gives the order; it may be lost right after. */
-	private giveAside(rank: number, order: RankOrder): boolean {
+	/* Sends the order from an entry's VM, which may be lost right after it. */
+	private orderViaEntry(rank: number, order: RankOrder): boolean {
 		if (!this.hasEntry) {
 			return false;
 		}
 
-		void this.openFromAfar(rank).order(order);
-		this.orderedAside++;
+		void this.openRemotely(rank).order(order);
+		this.ordersViaEntry++;
 		return true;
 	}
 
-	/* The engine of a VM that stands still goes on with its group, and answers nobody. */
-	private openFromAfar(rank: number): RankEngine {
+	/* The engine of a suspended VM keeps running with its group, but answers no requests. */
+	private openRemotely(rank: number): RankEngine {
 		const engine = this.group.open(rank);
 		const check = (): void => {
-			if (this.frozen.has(rank)) {
+			if (this.suspended.has(rank)) {
 				throw new Error('no answer');
 			}
 		};
@@ -165,7 +165,7 @@
 				check();
 				return engine.readPlacement();
 			},
-			order: async order => this.frozen.has(rank) ? 'unknown' : engine.order(order),
+			order: async order => this.suspended.has(rank) ? 'unknown' : engine.order(order),
 		};
 	}
 
@@ -174,41 +174,41 @@
 			return false;
 		}
 
-		// What is sent to a process that stands still waits in its socket.
-		this.send(() => !this.frozen.has(rank), () => {
-			this.members[rank].receive(message);
+		// Messages to a suspended process wait in its socket.
+		this.send(() => !this.suspended.has(rank), () => {
+			this.agents[rank].receive(message);
 		});
 		return planner.isAlive;
 	}
 
-	private deliverWaiting(): void {
-		const isDue = ({dueAt, isHere}: (typeof this.waiting)[number]): boolean => dueAt <= this.now && isHere();
-		const due = this.waiting.filter(message => isDue(message));
-		this.waiting = this.waiting.filter(message => !isDue(message));
-		for (const {take} of due) {
-			take();
+	private deliverDue(): void {
+		const isDue = ({dueAt, canReceive}: (typeof this.inTransit)[number]): boolean => dueAt <= this.now && canReceive();
+		const due = this.inTransit.filter(message => isDue(message));
+		this.inTransit = this.inTransit.filter(message => !isDue(message));
+		for (const {deliver} of due) {
+			deliver();
 		}
 	}
 
-	private send(isHere: () => boolean, take: () => void): void {
-		if (this.latencyMs === 0 && isHere()) {
-			take();
+	private send(canReceive: () => boolean, deliver: () => void): void {
+		if (this.latencyMs === 0 && canReceive()) {
+			deliver();
 		} else {
-			this.waiting.push({dueAt: this.now + this.latencyMs, isHere, take});
+			this.inTransit.push({dueAt: this.now + this.latencyMs, canReceive, deliver});
 		}
 	}
 
 	private report(rank: number, message: LinkMessage): boolean {
 		const planner = this.followed[rank];
-		if (!planner?.isAlive || planner.isFrozen || this.random() < this.lossShare) {
+		if (!planner?.isAlive || planner.isSuspended || this.random() < this.lossShare) {
 			return false;
 		}
 
-		this.send(() => planner.isAlive && !planner.isFrozen, () => {
+		this.send(() => planner.isAlive && !planner.isSuspended, () => {
 			if (message.type === 'rank-status') {
-				planner.controller.hear(message, this.now + planner.aheadMs);
+				planner.controller.handleReport(message, this.now + planner.clockOffsetMs);
 			} else if (message.type === 'rank-outcome') {
-				planner.controller.hearOutcome(message);
+				planner.controller.handleOutcome(message);
 			}
 		});
 		return true;
--- a/features/support/narrow-network.ts
+++ b/features/support/limited-network.ts
@@ -3,23 +3,23 @@
 import {type LinkMessage} from '../../src/link/link-message.js';
 
 type Host = {
-	/** When what was given to the VM's link before has left it, and has come in by it, milliseconds. */
-	outFreeAt: number;
-	inFreeAt: number;
-	/** What the VM has sent so far. */
+	/** When the VM's link has finished sending, and receiving, everything queued on it, milliseconds. */
+	uplinkFreeAt: number;
+	downlinkFreeAt: number;
+	/** Bytes that the VM has sent so far. */
 	sentBytes: number;
 	accept?: (connection: LinkConnection) => void;
 };
 
-/** One end of a connection: what the process there has asked for. */
+/** One end of a connection, with the handlers that its process has set. */
 type End = {receive: (message: LinkMessage) => void; readonly closeHandlers: Array<() => void>};
 
 type NetworkOptions = {
-	/** What the link of each VM carries each way. */
+	/** Bandwidth of each VM's link in each direction. */
 	readonly bytesPerSecond: number;
 	readonly latencyMs: number;
 	readonly clock: () => number;
-	/** Whether one VM reaches another now; all do where it is left out. What is under way when it does not is lost. */
+	/** Whether one VM can reach another now; always if absent. Messages in transit while it cannot are lost. */
 	readonly isReachable?: (from: string, to: string) => boolean;
 };
 
@@ -27,23 +27,23 @@
 
 const makeEnd = (): End => ({
 	receive() {
-		// Nobody has asked for messages yet.
+		// No handler has been set yet.
 	},
 	closeHandlers: [],
 });
 
-/** Links in memory between VMs whose own links carry so many bytes a second each way, and queue what is more. */
-export class NarrowNetwork {
+/** In-memory network between VMs with links of limited bandwidth in each direction; messages beyond it are queued. */
+export class LimitedNetwork {
 	private readonly hosts = new Map<string, Host>();
 
 	constructor(private readonly options: NetworkOptions) {}
 
-	/** Has a process take links at an address. */
+	/** Accepts links at an address. */
 	listen(address: string, accept: (connection: LinkConnection) => void): void {
 		this.getHost(address).accept = accept;
 	}
 
-	/** Bytes that a VM has sent so far, those of frames alone. */
+	/** Returns the bytes that a VM has sent so far, counting frames only. */
 	getSentBytes(address: string): number {
 		return this.getHost(address).sentBytes;
 	}
@@ -66,8 +66,8 @@
 		});
 	}
 
-	/** Cuts what a process has open and listens with, as its end does. */
-	forget(address: string): void {
+	/** Stops accepting links at an address, as when its process ends. */
+	disconnect(address: string): void {
 		this.getHost(address).accept = undefined;
 	}
 
@@ -104,7 +104,7 @@
 			},
 			send: (message: LinkMessage): boolean => {
 				if (state.isOpen) {
-					leavesAt = this.carry(here, there, message, () => {
+					leavesAt = this.transmit(here, there, message, () => {
 						if (state.isOpen && this.isReachable(here, there)) {
 							other.receive(message);
 						}
@@ -119,8 +119,8 @@
 		return connection as unknown as LinkConnection;
 	}
 
-	/* Gives when the message has come in: until then what follows on the connection waits at its sender. */
-	private carry(from: string, to: string, message: LinkMessage, deliver: () => void): number {
+	/* Returns when the message is received; later messages of the connection wait at the sender until then. */
+	private transmit(from: string, to: string, message: LinkMessage, deliver: () => void): number {
 		const {bytesPerSecond, latencyMs, clock} = this.options;
 		const now = clock();
 		const {length} = encodeFrame(message);
@@ -128,14 +128,14 @@
 		const sender = this.getHost(from);
 		sender.sentBytes += length;
 		const receiver = this.getHost(to);
-		sender.outFreeAt = Math.max(now, sender.outFreeAt) + takesMs;
-		receiver.inFreeAt = Math.max(sender.outFreeAt + latencyMs, receiver.inFreeAt) + takesMs;
-		setTimeout(deliver, receiver.inFreeAt - now);
-		return receiver.inFreeAt;
+		sender.uplinkFreeAt = Math.max(now, sender.uplinkFreeAt) + takesMs;
+		receiver.downlinkFreeAt = Math.max(sender.uplinkFreeAt + latencyMs, receiver.downlinkFreeAt) + takesMs;
+		setTimeout(deliver, receiver.downlinkFreeAt - now);
+		return receiver.downlinkFreeAt;
 	}
 
 	private getHost(address: string): Host {
-		const host = this.hosts.get(address) ?? {outFreeAt: 0, inFreeAt: 0, sentBytes: 0};
+		const host = this.hosts.get(address) ?? {uplinkFreeAt: 0, downlinkFreeAt: 0, sentBytes: 0};
 		this.hosts.set(address, host);
 		return host;
 	}
--- a/features/support/rank-service.ts
+++ b/features/support/rank-service.ts
@@ -10,7 +10,7 @@
 import {type LinkConnection} from '../../src/link/link-connection.js';
 import {LockstepGroup} from '../../stand-ins/engine/lockstep-group.js';
 import {MemoryStore} from '../../stand-ins/forward/memory-store.js';
-import {NarrowNetwork} from './narrow-network.js';
+import {LimitedNetwork} from './limited-network.js';
 
 type ServiceOptions = {
 	readonly groups: number;
@@ -19,7 +19,7 @@
 	readonly experts: number;
 	readonly slots: number;
 	readonly maximumNew: number;
-	/** What the link of each VM carries each way, bytes a second. */
+	/** Bandwidth of each VM's link in each direction, bytes per second. */
 	readonly bytesPerSecond: number;
 	readonly passMs: number;
 	readonly seed: number;
@@ -30,13 +30,13 @@
 const turnMs = 5;
 const latencyMs = 2;
 
-/** The groups of one service, with the process beside each rank on a VM of its own, joined by narrow links in memory. */
+/** The groups of one service, with the process of each rank on its own VM, connected in memory by links of limited bandwidth. */
 export class RankService {
 	now = 0;
 	readonly groups: LockstepGroup[] = [];
 	readonly log: string[] = [];
 	private readonly store = new MemoryStore();
-	private readonly network: NarrowNetwork;
+	private readonly network: LimitedNetwork;
 	private readonly processes: RankProcess[] = [];
 	private readonly engines = new Map<string, RankEngine>();
 	private readonly random: () => number;
@@ -44,24 +44,24 @@
 	constructor(private readonly options: ServiceOptions) {
 		const generator = xoroshiro128plus(options.seed);
 		this.random = () => uniformFloat64(generator);
-		this.network = new NarrowNetwork({bytesPerSecond: options.bytesPerSecond, latencyMs, clock: () => this.now});
+		this.network = new LimitedNetwork({bytesPerSecond: options.bytesPerSecond, latencyMs, clock: () => this.now});
 		for (let index = 0; index < options.groups; index++) {
 			this.groups.push(this.makeGroup(index));
 		}
 
 		this.store.put(`wardswitch/entries/${entryAddress}`, entryAddress);
 		this.network.listen(entryAddress, connection => {
-			this.giveOrders(connection);
+			this.forwardOrders(connection);
 		});
 	}
 
-	/** Engines by group as they are written for entries. */
+	/** Reads the listings of engines by group that planners publish for entries. */
 	async readListings(): Promise<GroupListing[]> {
 		const listed = await this.store.open('reader').list(groupKeys.prefix);
 		return listed._unsafeUnwrap().items.map(({value}) => GroupListing.parse(JSON.parse(value)));
 	}
 
-	/** Starts the processes and lets time pass; nothing but the turns of the scenario's clock moves them. */
+	/** Starts the processes and advances the simulated clock, on which all their timers run. */
 	async run(ms: number, shiftMs: number): Promise<void> {
 		mock.timers.enable({apis: ['setTimeout', 'setInterval']});
 		try {
@@ -139,7 +139,7 @@
 		process.start();
 	}
 
-	private giveOrders(connection: LinkConnection): void {
+	private forwardOrders(connection: LinkConnection): void {
 		connection.onMessage(async message => {
 			if (message.type === 'engine-order') {
 				const outcome = await this.engines.get(message.engineAddress)!.order(message.order);
--- a/src/balance/choose-replica.ts
+++ b/src/balance/choose-replica.ts
@@ -1,87 +1,87 @@
 import {type Target} from '../fleet/target.js';
-import {type TargetStanding} from './target-standing.js';
+import {type BreakerState} from './breaker-state.js';
 
 type ChoiceOptions = {
 	readonly targets: readonly Target[];
-	/** Targets that the request was sent to already. */
+	/** Ids of targets that this request has already been sent to. */
 	readonly excluded: ReadonlySet<string>;
 	readonly availabilityZone: string;
-	/** Requests in flight at a target over all entries. */
-	readonly count: (target: string) => number;
-	readonly getStanding: (target: string) => TargetStanding;
-	/** When a target last began to answer, milliseconds; undefined when it never has. */
+	/** Requests in flight at a target, summed over all entries. */
+	readonly countInFlight: (target: string) => number;
+	readonly getBreakerState: (target: string) => BreakerState;
+	/** Time at which a target last began to answer a request successfully, milliseconds; undefined if it never has. */
 	readonly getServedAt: (target: string) => number | undefined;
-	/** Share of a target's recent requests that failed. */
+	/** Share of a target's recent requests that failed, 0 to 1. */
 	readonly getFailureRate: (target: string) => number;
-	/** Recent time for a whole answer, milliseconds; 0 when none is known. */
-	readonly getLatency: (target: string) => number;
-	/** Requests beyond a target's slots that may wait at it. */
+	/** Recent time for a complete answer, milliseconds; 0 when unknown. */
+	readonly getLatencyMs: (target: string) => number;
+	/** Requests that may be queued at a target beyond its slots. */
 	readonly queueLength: number;
-	/** Whether the request was sent to a target before: it goes where others have lately been served. */
-	readonly isRepeat: boolean;
-	/** Whether this request may be the one that sees whether a doubtful target takes requests again. */
+	/** Whether the request is a retry; a retry prefers the target that most recently served a request. */
+	readonly isRetry: boolean;
+	/** Takes a probe from the budget: whether this request may probe a doubtful target. */
 	readonly mayProbe: () => boolean;
 	readonly random: () => number;
 };
 
 type Chosen = {readonly kind: 'chosen'; readonly target: Target};
-/** Every target has as much as it may have. */
+/** Every target is at its limit of running and queued requests. */
 type Full = {readonly kind: 'full'};
-/** There is no target that could be asked. */
+/** No target is left to try. */
 type None = {readonly kind: 'none'};
 type Choice = Chosen | Full | None;
 
-/** A target in another zone counts as this much fuller, in slots' share: only near ties stay in the zone. */
-const zonePenalty = 0.06;
-/** A target that always fails counts as this much fuller than one that never does, in slots' share. */
+/** Score added for a target in another availability zone, as a share of its slots. Small, so that the own zone only decides near ties. */
+const remoteZonePenalty = 0.06;
+/** Score added for a target that fails every request, as a share of its slots; proportional to the failure rate. */
 const failurePenalty = 2;
-/** A target that takes twice as long as the fastest counts as this much fuller, in slots' share. */
-const slowPenalty = 0.5;
-/** Near ties are broken at random within this share of the slots, so that entries do not all pick the same target. */
-const tieShare = 0.05;
+/** Score added for each doubling of latency over the fastest target, as a share of its slots. */
+const latencyPenalty = 0.5;
+/** Range of the random score, as a share of the slots: breaks near ties so that entries do not all choose the same target. */
+const tieBreakShare = 0.05;
 
 /**
- * Chooses the target with the most room, seen over all entries, and tells full from absent. One that has lately refused looks the
- * emptiest, and gets a request now and then only; one that is left alone, none while there is another.
+ * Chooses the least loaded target, by the load over all entries. The result distinguishes "all targets are full" from "no target".
+ *
+ * A doubtful target has recently refused requests, so it appears the least loaded: it gets probes, and other requests only if no
+ * sound target has capacity. An avoided target is used only if all targets are avoided.
  */
 export function chooseReplica(options: ChoiceOptions): Choice {
-	const open = options.targets.filter(({id}) => !options.excluded.has(id));
-	if (open.length === 0) {
+	const candidates = options.targets.filter(({id}) => !options.excluded.has(id));
+	if (candidates.length === 0) {
 		return {kind: 'none'};
 	}
 
-	const standings = new Map(open.map(target => [target, options.getStanding(target.id)]));
-	const sound = open.filter(target => standings.get(target) === 'sound');
-	const doubtful = open.filter(target => standings.get(target) === 'doubtful');
+	const states = new Map(candidates.map(target => [target, options.getBreakerState(target.id)]));
+	const sound = candidates.filter(target => states.get(target) === 'sound');
+	const doubtful = candidates.filter(target => states.get(target) === 'doubtful');
 	const isProbe = doubtful.length > 0 && options.mayProbe();
 	const isAnyReachable = sound.length + doubtful.length > 0;
-	const target = (isProbe ? findEmptiest(doubtful, options) : undefined)
-		?? (options.isRepeat ? findLastServing(sound, options) : undefined)
-		?? findEmptiest(sound, options)
-		?? findEmptiest(isAnyReachable ? doubtful : open, options);
+	const target = (isProbe ? findLeastLoaded(doubtful, options) : undefined)
+		?? (options.isRetry ? findMostRecentlyServing(sound, options) : undefined)
+		?? findLeastLoaded(sound, options)
+		?? findLeastLoaded(isAnyReachable ? doubtful : candidates, options);
 	return target ? {kind: 'chosen', target} : {kind: 'full'};
 }
 
-const hasRoom = ({id, slots}: Target, {count, queueLength}: ChoiceOptions): boolean => count(id) < slots + queueLength;
+const hasCapacity = ({id, slots}: Target, {countInFlight, queueLength}: ChoiceOptions): boolean => countInFlight(id) < slots + queueLength;
 
-/*
- * What one target refused, another may refuse as well: the one that began to answer last is least likely to.
- */
-function findLastServing(targets: readonly Target[], options: ChoiceOptions): Target | undefined {
-	const serving = targets.filter(target => options.getServedAt(target.id) !== undefined && hasRoom(target, options));
+/* The cause of a refusal may apply to other targets as well; the target that most recently began to answer is the least likely to refuse. */
+function findMostRecentlyServing(targets: readonly Target[], options: ChoiceOptions): Target | undefined {
+	const serving = targets.filter(target => options.getServedAt(target.id) !== undefined && hasCapacity(target, options));
 	return serving.toSorted((one, other) => options.getServedAt(other.id)! - options.getServedAt(one.id)!).at(0);
 }
 
-function findEmptiest(targets: readonly Target[], options: ChoiceOptions): Target | undefined {
-	const fastest = findFastest(targets, options.getLatency);
+function findLeastLoaded(targets: readonly Target[], options: ChoiceOptions): Target | undefined {
+	const fastest = findFastest(targets, options.getLatencyMs);
 	let best: Target | undefined;
 	let bestScore = Number.POSITIVE_INFINITY;
 	for (const target of targets) {
-		if (!hasRoom(target, options)) {
+		if (!hasCapacity(target, options)) {
 			continue;
 		}
 
-		const score = (options.count(target.id) / target.slots) + rateTarget(target, fastest, options) + (options.random() * tieShare);
+		const score = (options.countInFlight(target.id) / target.slots) + getPenalty(target, fastest, options) + (options.random() * tieBreakShare);
 		if (score < bestScore) {
 			best = target;
 			bestScore = score;
@@ -91,10 +91,10 @@
 	return best;
 }
 
-function findFastest(targets: readonly Target[], getLatency: (target: string) => number): number {
+function findFastest(targets: readonly Target[], getLatencyMs: (target: string) => number): number {
 	let fastest = Number.POSITIVE_INFINITY;
 	for (const {id} of targets) {
-		const latencyMs = getLatency(id);
+		const latencyMs = getLatencyMs(id);
 		if (latencyMs > 0) {
 			fastest = Math.min(fastest, latencyMs);
 		}
@@ -103,11 +103,11 @@
 	return fastest;
 }
 
-/* How much fuller a target counts than it is, for what is known against it. */
-function rateTarget(target: Target, fastestMs: number, options: ChoiceOptions): number {
-	const zone = target.availabilityZone === options.availabilityZone ? 0 : zonePenalty;
+/* Score added to a target's load for its zone, failures and latency. */
+function getPenalty(target: Target, fastestMs: number, options: ChoiceOptions): number {
+	const zone = target.availabilityZone === options.availabilityZone ? 0 : remoteZonePenalty;
 	const failures = failurePenalty * options.getFailureRate(target.id);
-	const latencyMs = options.getLatency(target.id);
-	const slowness = latencyMs > fastestMs ? slowPenalty * Math.log2(latencyMs / fastestMs) : 0;
-	return zone + failures + slowness;
+	const latencyMs = options.getLatencyMs(target.id);
+	const latency = latencyMs > fastestMs ? latencyPenalty * Math.log2(latencyMs / fastestMs) : 0;
+	return zone + failures + latency;
 }
--- a/src/cli/commands/map-replay.ts
+++ b/src/cli/commands/map-replay.ts
@@ -21,20 +21,20 @@
 	'--move-weight': weight,
 });
 
-/** `map replay TRACE` */
+/** `map replay TRACE`: evaluates a planning policy on a trace of expert loads. */
 export class MapReplay extends Command {
 	static override paths = [['map', 'replay']];
 	static override usage = Command.Usage({
-		description: 'replay a trace of expert loads under a policy: skew, copies moved, switches, planning time',
-		examples: [['What more weight on moves would change', 'wardswitch map replay trace.jsonl --ranks 8 --slots 10 --policy incremental --move-weight 10']],
+		description: 'replay a trace of expert loads under a policy and print skew, copies moved, switches and planning time',
+		examples: [['The effect of more weight on moves', 'wardswitch map replay trace.jsonl --ranks 8 --slots 10 --policy incremental --move-weight 10']],
 	});
 
 	file = Option.String();
 	ranks = Option.String('--ranks', {required: true, description: 'ranks of the group'});
 	slots = Option.String('--slots', {required: true, description: 'slots per rank and layer'});
 	policy = Option.String('--policy', {required: true, description: 'static, repack or incremental'});
-	skewWeight = Option.String('--skew-weight', '1', {description: 'what a lower skew is worth'});
-	moveWeight = Option.String('--move-weight', '1', {description: 'what fewer copies moved are worth'});
+	skewWeight = Option.String('--skew-weight', '1', {description: 'weight of a lower skew'});
+	moveWeight = Option.String('--move-weight', '1', {description: 'weight of fewer copies moved'});
 	mapsFile = Option.String('--maps', {description: 'file to write the map in force during each interval to, JSON Lines'});
 	isJson = Option.Boolean('--json', false, {description: 'print JSON'});
 
@@ -43,19 +43,19 @@
 			'--ranks': this.ranks, '--slots': this.slots, '--policy': this.policy, '--skew-weight': this.skewWeight, '--move-weight': this.moveWeight,
 		});
 		if (!parsed.success) {
-			return this.refuse(parsed.error.issues.map(issue => `${issue.path.join('.')}: ${issue.message}`));
+			return this.fail(parsed.error.issues.map(issue => `${issue.path.join('.')}: ${issue.message}`));
 		}
 
 		let text: string;
 		try {
 			text = readFileSync(this.file, 'utf8');
 		} catch (error) {
-			return this.refuse([(error as Error).message]);
+			return this.fail([(error as Error).message]);
 		}
 
 		const trace = parseTrace(text);
 		if (trace.isErr()) {
-			return this.refuse([`${this.file}: ${trace.error.message}`]);
+			return this.fail([`${this.file}: ${trace.error.message}`]);
 		}
 
 		const [{loads}] = trace.value;
@@ -63,7 +63,7 @@
 			layers: loads.length, experts: loads[0].length, ranks: parsed.data['--ranks'], slots: parsed.data['--slots'],
 		});
 		if (shape.isErr()) {
-			return this.refuse([shape.error.message]);
+			return this.fail([shape.error.message]);
 		}
 
 		const weights = {skew: parsed.data['--skew-weight'], move: parsed.data['--move-weight']};
@@ -96,7 +96,7 @@
 		this.context.stdout.write(`${this.isJson ? JSON.stringify(summary) : lines.join('\n')}\n`);
 	}
 
-	private refuse(problems: readonly string[]): number {
+	private fail(problems: readonly string[]): number {
 		this.context.stderr.write(`${problems.join('\n')}\n`);
 		return exitCode.refused;
 	}
--- a/src/entry/entry-controller.ts
+++ b/src/entry/entry-controller.ts
@@ -31,55 +31,59 @@
 	readonly log: (message: string) => void;
 };
 
-const tickMs = 250;
-const heartbeatMs = 2000;
-/** Entries of a zone that watch the platform for all of it. */
+/** Interval of the controller's timer, milliseconds. */
+const tickIntervalMs = 250;
+/** Interval of heartbeats to peers, milliseconds. */
+const heartbeatIntervalMs = 2000;
+/** Entries of an availability zone that watch the platform's store on behalf of the zone. */
 const watchersPerZone = 2;
-/** How long a starting entry waits to hear of newer tables before it is ready, milliseconds. */
-const settleMs = 1500;
+/** How long a starting entry waits for a peer to announce a newer table before it is ready, milliseconds. */
+const settleTimeoutMs = 1500;
 
-/** The control work of an entry: heartbeats, the list of VMs, the table's spread, limits, and what `status` shows. */
+/** The control plane of an entry: heartbeats, the VM list, distribution of the table, limits, and the document of `/status`. */
 export class EntryController {
-	private list: VmList | undefined;
-	private listAt = 0;
-	private nextListAt = 0;
+	private vmList: VmList | undefined;
+	private vmListAt = 0;
+	private nextVmListAt = 0;
 	private nextHeartbeatAt = 0;
 	private startedAt = 0;
 	private isLeaving = false;
-	private hasHeardPeer = false;
+	private hasPeerAnswered = false;
 	private timer: NodeJS.Timeout | undefined;
 
 	constructor(private readonly options: ControllerOptions) {}
 
-	/** Whether callers may be sent here: a table is in force, and peers had their chance to name a newer one. */
+	/** Whether callers may be sent here: a table is in force, and a peer has answered or the settle time-out has passed. */
 	get isReady(): boolean {
 		const {table, clock, membership} = this.options;
-		const hasSettled = this.hasHeardPeer || membership.listPeers().length === 0 || clock() - this.startedAt > settleMs;
+		const hasSettled = this.hasPeerAnswered || membership.listPeers().length === 0 || clock() - this.startedAt > settleTimeoutMs;
 		return !this.isLeaving && table.current !== undefined && hasSettled;
 	}
 
+	/** Reads the VM list and starts the timer. */
 	async start(): Promise<void> {
 		this.startedAt = this.options.clock();
-		await this.readList();
+		await this.refreshVmList();
 		this.tick();
 		this.timer = setInterval(() => {
 			this.options.metrics.measureControl(() => {
 				this.tick();
 			});
-		}, tickMs);
+		}, tickIntervalMs);
 	}
 
-	/** Tells the balancer before this entry, by `/readyz`, to send no more callers. */
-	leave(): void {
+	/** Makes `/readyz` fail, so that the load balancer in front of this entry sends no more callers. */
+	startLeaving(): void {
 		this.isLeaving = true;
 	}
 
+	/** Stops the timer. */
 	close(): void {
 		clearInterval(this.timer);
 	}
 
-	/** Tells every open peer and target of the version in force, at once. */
-	announce(): void {
+	/** Sends the table version in force to every connected peer and target at once. */
+	broadcastTableVersion(): void {
 		const heartbeat = this.makeHeartbeat();
 		this.options.peers.broadcast(heartbeat);
 		for (const link of this.options.targets.list()) {
@@ -87,54 +91,54 @@
 		}
 	}
 
-	/** Learns that an entry has opened a link; one that is not known yet is looked up at once. */
-	greet(id: string): void {
+	/** Notes that an entry has opened a link; for an unknown entry the VM list is read at the next tick. */
+	noteEntryHello(id: string): void {
 		if (this.options.membership.getVm(id) === undefined) {
-			this.nextListAt = 0;
+			this.nextVmListAt = 0;
 		}
 	}
 
-	/** Learns of a table version from a target; asks a peer of the zone for it. */
-	noteVersion(version: number): void {
+	/** Notes a table version that a target reported; if it is newer, peers are asked for that table. */
+	noteTableVersion(version: number): void {
 		const {table, clock, membership, peers} = this.options;
 		const now = clock();
-		const wish = table.noteVersion(version, '', now);
-		if (!wish) {
+		const request = table.noteVersion(version, '', now);
+		if (!request) {
 			return;
 		}
 
-		for (const vm of membership.pickPeers(now)) {
-			peers.send(vm, wish);
+		for (const vm of membership.pickHeartbeatPeers(now)) {
+			peers.send(vm, request);
 		}
 	}
 
-	/** Takes expert loads that rank 0 of a group reported. */
-	takeLoads(message: MessageOf<'map-loads'>): void {
-		void this.options.groups.takeLoads(message, this.options.clock());
+	/** Passes on expert loads that rank 0 of a group reported. */
+	noteExpertLoads(message: MessageOf<'map-loads'>): void {
+		void this.options.groups.noteExpertLoads(message, this.options.clock());
 	}
 
-	/** Handles a message of another entry, or of an operator. */
+	/** Handles a message from another entry or an operator; `sender` is its id, empty for a link that this entry opened. */
 	receive(message: LinkMessage, send: Send, sender: string): void {
 		const {limits, table} = this.options;
 		const now = this.options.clock();
 		switch (message.type) {
 			case 'heartbeat': {
-				this.hear(message, send, now);
+				this.handleHeartbeat(message, send, now);
 				break;
 			}
 
 			case 'welcome': {
-				this.hasHeardPeer = true;
-				const wish = table.noteVersion(message.tableVersion, '', now);
-				if (wish) {
-					send(wish);
+				this.hasPeerAnswered = true;
+				const request = table.noteVersion(message.tableVersion, '', now);
+				if (request) {
+					send(request);
 				}
 
 				break;
 			}
 
 			case 'table-wanted': {
-				const offered = table.offer(message);
+				const offered = table.createOffer(message);
 				if (offered) {
 					send(offered);
 				}
@@ -143,17 +147,17 @@
 			}
 
 			case 'table-offered': {
-				table.takeOffer(message);
+				table.applyOffer(message);
 				break;
 			}
 
 			case 'borrow': {
-				this.lend(message, send, sender, now);
+				this.handleBorrow(message, send, sender, now);
 				break;
 			}
 
 			case 'lend': {
-				limits.takeLoan(message);
+				limits.receiveLoan(message);
 				break;
 			}
 
@@ -161,7 +165,7 @@
 		}
 	}
 
-	/** The document of `/status`. */
+	/** Makes the document of `/status`. */
 	getStatus(): unknown {
 		const {id, availabilityZone, membership, table, targets, clock} = this.options;
 		const now = clock();
@@ -172,11 +176,11 @@
 			table: {
 				version: table.version,
 				changeId: table.changeId,
-				platformAgeMs: table.platformAt === 0 ? undefined : now - table.platformAt,
-				trouble: table.trouble,
+				platformAgeMs: table.platformReadAt === 0 ? undefined : now - table.platformReadAt,
+				trouble: table.divergence,
 				isWatcher: this.isWatcher(now),
 			},
-			list: {vms: this.list?.vms.length ?? 0, ageMs: this.listAt === 0 ? undefined : now - this.listAt},
+			list: {vms: this.vmList?.vms.length ?? 0, ageMs: this.vmListAt === 0 ? undefined : now - this.vmListAt},
 			entries: membership.listPeers().map(vm => ({id: vm.id, availabilityZone: vm.availabilityZone, state: membership.getState(vm.id, now)})),
 			targets: targets.list().map(link => ({
 				id: link.vm.id,
@@ -200,56 +204,56 @@
 		limits.tick(now);
 		table.setWatcher(this.isWatcher(now), now);
 		table.tick(now);
-		this.options.groups.tick(now, this.list?.vms ?? []);
+		this.options.groups.tick(now, this.vmList?.vms ?? []);
 		if (now >= this.nextHeartbeatAt) {
-			this.nextHeartbeatAt = now + heartbeatMs;
+			this.nextHeartbeatAt = now + heartbeatIntervalMs;
 			const heartbeat = this.makeHeartbeat();
-			for (const vm of membership.pickNext(now)) {
+			for (const vm of membership.pickHeartbeatReceivers(now)) {
 				peers.send(vm, heartbeat);
 			}
 		}
 
-		if (now >= this.nextListAt) {
-			this.nextListAt = now + (this.options.platform.vmListIntervalMs * (0.5 + this.options.random()));
-			void this.readList();
+		if (now >= this.nextVmListAt) {
+			this.nextVmListAt = now + (this.options.platform.vmListIntervalMs * (0.5 + this.options.random()));
+			void this.refreshVmList();
 		}
 	}
 
-	private async readList(): Promise<void> {
+	private async refreshVmList(): Promise<void> {
 		const {platform, membership, targets, clock, metrics} = this.options;
 		metrics.platformCalls.inc({operation: 'vm-list'});
-		const answer = await fetchVmList({url: platform.vmList, timeoutMs: platform.timeoutMs, previous: this.list});
+		const answer = await fetchVmList({url: platform.vmList, timeoutMs: platform.timeoutMs, previous: this.vmList});
 		if (answer.isErr()) {
 			this.options.log(answer.error.message);
 			return;
 		}
 
 		const now = clock();
-		this.list = answer.value;
-		this.listAt = now;
+		this.vmList = answer.value;
+		this.vmListAt = now;
 		membership.noteList(answer.value.vms, now);
-		targets.noteList(answer.value.vms, now);
+		targets.updateVms(answer.value.vms, now);
 	}
 
-	private hear(heartbeat: MessageOf<'heartbeat'>, send: Send, now: number): void {
+	private handleHeartbeat(heartbeat: MessageOf<'heartbeat'>, send: Send, now: number): void {
 		const {membership, table} = this.options;
-		this.hasHeardPeer = true;
-		membership.hear(heartbeat, now);
-		const wish = table.noteVersion(heartbeat.tableVersion, heartbeat.changeId, now);
-		if (wish) {
-			send(wish);
+		this.hasPeerAnswered = true;
+		membership.receiveHeartbeat(heartbeat, now);
+		const request = table.noteVersion(heartbeat.tableVersion, heartbeat.changeId, now);
+		if (request) {
+			send(request);
 		} else if (heartbeat.tableVersion < table.version) {
 			send(this.makeHeartbeat());
 		}
 	}
 
-	/* A bucket's name says which row holds its limit; both sides read it from the table in force. */
-	private lend(wish: MessageOf<'borrow'>, send: Send, borrower: string, now: number): void {
-		const [kindText, service, organisation] = wish.bucket.split('/');
+	/* A bucket's name is KIND/SERVICE/ORGANISATION; its limit is that of the row in the table in force. */
+	private handleBorrow(request: MessageOf<'borrow'>, send: Send, borrower: string, now: number): void {
+		const [kindText, service, organisation] = request.bucket.split('/');
 		const kind = LimitKind.safeParse(kindText);
 		const value = kind.success ? this.options.table.current?.findRow(service, organisation, '*')?.[kind.data] : undefined;
 		if (kind.success && value !== undefined) {
-			send(this.options.limits.lend(wish, borrower, {kind: kind.data, value}, now));
+			send(this.options.limits.lend(request, borrower, {kind: kind.data, value}, now));
 		}
 	}
 
--- /dev/null
+++ b/src/forward/make-forward-pipeline.ts
@@ -0,0 +1,152 @@
+import {InFlightCounts} from '../balance/in-flight-counts.js';
+import {ProbeBudget} from '../balance/probe-budget.js';
+import {SharedRetryBudget} from '../balance/shared-retry-budget.js';
+import {ServiceBreaker} from '../balance/service-breaker.js';
+import {type ForwardEntrySettings} from '../config/forward-entry-settings.js';
+import {type Service} from '../fleet/service.js';
+import {getFailureDomain} from '../fleet/get-failure-domain.js';
+import {type EntryDigest} from '../mesh/entry-digest.js';
+import {rankByRendezvous} from '../routing/rank-by-rendezvous.js';
+import {CrashDetector} from './crash-detector.js';
+import {ForwardDispatcher} from './forward-dispatcher.js';
+import {type ForwardDependencies} from './forward-dependencies.js';
+import {StallDetector} from './stall-detector.js';
+import {StreamAdmission} from './stream-admission.js';
+import {TargetTracker} from './target-tracker.js';
+import {type TargetTransport} from './target-transport.js';
+import {type TransportListener} from './transport-listener.js';
+
+type TrackerOptions = ConstructorParameters<typeof TargetTracker>[0];
+
+type PipelineOptions = Pick<ForwardEntrySettings, 'availabilityZone' | 'repeats'> & Pick<ForwardDependencies, 'clock' | 'random'> & Omit<TrackerOptions, 'countInFlight' | 'electEntry'> & {
+	/** Link address of this entry; peers are identified by theirs. */
+	readonly address: string;
+	/** Opens the transport to targets; the listener is notified of what they send. */
+	readonly openTransport: (listener: TransportListener) => TargetTransport;
+	/** Returns the configuration of a service; undefined while it is not known. */
+	readonly getService: (name: string) => Service | undefined;
+	/** Called when the number of this entry's requests in flight changes. */
+	readonly onLoadChange: () => void;
+	/** Called when a crash has been found that peers must be notified of at once. */
+	readonly onCrashFound: () => void;
+	/** Called for each attempt. */
+	readonly onSend: (service: string, isRetry: boolean) => void;
+};
+
+type ForwardPipeline = {
+	readonly board: InFlightCounts;
+	readonly tracker: TargetTracker;
+	readonly dispatcher: ForwardDispatcher;
+	/** Returns the digest to send to peers; the whole one for a peer that may not have received any yet. */
+	getDigest(isWhole: boolean, now: number): EntryDigest;
+	/** Merges a peer's digest; `isNear` says whether the peer is in the same availability zone. */
+	mergeDigest(peer: string, digest: EntryDigest, isNear: boolean, now: number): void;
+	/** Runs the periodic checks for stalls and expired state. */
+	tick(): void;
+	/** Closes the connections and drops the state of a target that takes no more requests. */
+	removeTarget(target: string): void;
+	/** Closes the connections and resets the state of a target that has restarted. */
+	resetTarget(target: string): void;
+	/** Notes that a group has been formed again, so that requests may go to it. */
+	noteGroupFormed(unit: string): void;
+	close(): void;
+};
+
+/** Creates the components that send a request to a target: choice of target, admission, retry budget, transport, stall and crash detection. */
+export function makeForwardPipeline(options: PipelineOptions): ForwardPipeline {
+	const {availabilityZone, repeats, openTransport, clock, random, countRegistered, getService, onLoadChange, onCrashFound, onSend, log, address, listPeers} = options;
+	const board = new InFlightCounts(onLoadChange);
+	const electEntry = (key: string, now: number): string => rankByRendezvous(key, [address, ...listPeers(now)])[0];
+	const tracker = new TargetTracker({...options, electEntry, countInFlight: target => board.count(target, clock())});
+	const {directory, health} = tracker;
+	const gate = new ServiceBreaker(log);
+	const admission = new StreamAdmission({
+		board,
+		listAvailable: (service, now) => tracker.listAvailable(service, now),
+		isHealthy: ({id}, now) => tracker.getStanding(id, now) === 'sound',
+		getService,
+	});
+	const stalls = new StallDetector({
+		board,
+		health,
+		clock,
+		log,
+		onStopped(unit) {
+			gate.noteDown(unit, clock(), 'none of its streams makes progress');
+		},
+		onSilentConnection(target) {
+			transport.drop(target);
+		},
+	});
+	const transport: TargetTransport = openTransport({
+		onHead(target, metadata, sentAt) {
+			tracker.noteAnswerHead({target, metadata, sentAt}, clock());
+		},
+		onProgress(target) {
+			const now = clock();
+			board.noteProgress(target.id, now);
+			gate.noteRunning(getFailureDomain(target), now);
+		},
+		onGap(target, gapMs) {
+			admission.noteGap(target, gapMs);
+		},
+	});
+	const crashes = new CrashDetector({
+		check: async target => transport.check(target),
+		health,
+		isElected: (key, now) => electEntry(key, now) === address,
+		onCrashFound,
+		clock,
+		log,
+	});
+	const dispatcher = new ForwardDispatcher({
+		send: async sendOptions => transport.send(sendOptions),
+		tracker,
+		crashes,
+		board,
+		gate,
+		probes: new ProbeBudget(),
+		budget: new SharedRetryBudget({...repeats, countEntries: now => Math.max(board.countLivePeers(now) + 1, countRegistered())}),
+		stalls,
+		admission,
+		availabilityZone,
+		clock,
+		random,
+		countRegistered,
+		onSend,
+	});
+
+	return {
+		board,
+		tracker,
+		dispatcher,
+		getDigest: (isWhole, now) => ({...tracker.getDigest(now), ...crashes.suspects.getDigest(isWhole, now)}),
+		mergeDigest(peer, digest, isNear, now) {
+			tracker.mergeDigest(peer, digest, isNear, now);
+			crashes.suspects.merge(digest, now);
+		},
+		tick() {
+			const now = clock();
+			crashes.suspects.tick(now);
+			stalls.tick();
+			tracker.tick(now);
+			admission.tick(now);
+		},
+		removeTarget(target) {
+			transport.drop(target);
+			board.prune(id => directory.get(id) !== undefined);
+			tracker.prune();
+		},
+		resetTarget(target) {
+			transport.drop(target);
+			tracker.resetTarget(target);
+			crashes.noteRestart(target);
+		},
+		noteGroupFormed(unit) {
+			gate.noteRunning(unit, clock());
+		},
+		close() {
+			transport.close();
+		},
+	};
+}
--- a/src/limits/limit-controller.ts
+++ b/src/limits/limit-controller.ts
@@ -10,41 +10,44 @@
 	readonly id: string;
 	readonly lender: Lender;
 	readonly clock: () => number;
-	/** The entry that lends for a limit. */
-	readonly findHome: (name: string) => string;
-	/** Sends a wish to another entry; false when it cannot be reached now. */
-	readonly ask: (home: string, message: MessageOf<'borrow'>) => boolean;
-	/** Share of all zones that can be reached. */
-	readonly getVisibleShare: () => number;
-	/** Entries that can be reached, this one included. */
+	/** Id of the entry that lends units of a limit. */
+	readonly findLender: (name: string) => string;
+	/** Sends a request to another entry; false when it cannot be reached now. */
+	readonly sendBorrow: (lender: string, message: MessageOf<'borrow'>) => boolean;
+	/** Share of all availability zones that are reachable, 0 to 1. */
+	readonly getReachableShare: () => number;
+	/** Number of reachable entries, including this one. */
 	readonly countEntries: () => number;
 };
 
-type Wallet = {amount: number; lentAt: number};
-type Permits = {granted: number; running: number; demand: LimitDemand; askedAt: number};
-
-/** Units borrowed at once, as seconds of the rate. */
-const chunkSeconds = 0.05;
-/** Borrowed units that were not used within this time are void, milliseconds. */
-const walletMs = 2000;
-/** Longest wait for a lender, milliseconds. */
-const answerMs = 100;
-const renewMs = 2000;
-
-/** Holds the requests of this entry to limits that span all entries, with units and permits borrowed from the limit's home. */
+/** Borrowed units that have not been used yet, and when they were borrowed (milliseconds). */
+type Credit = {amount: number; borrowedAt: number};
+/** Concurrency permits held for a limit, those in use, and when they were last requested (milliseconds). */
+type Permits = {granted: number; running: number; demand: LimitDemand; requestedAt: number};
+
+/** Minimum number of units to borrow, in seconds of the rate. */
+const borrowSeconds = 0.05;
+/** Time after which unused borrowed units expire, milliseconds. */
+const creditLifetimeMs = 2000;
+/** Timeout for the lender's answer, milliseconds. */
+const lenderTimeoutMs = 100;
+/** Interval between renewals of permits in use, milliseconds. */
+const permitRenewalMs = 2000;
+
+/** Enforces limits that apply to all entries together, with units and permits borrowed from the lender of each limit. */
 export class LimitController {
-	private readonly wallets = new Map<string, Wallet>();
+	private readonly credits = new Map<string, Credit>();
 	private readonly permits = new Map<string, Permits>();
 	private readonly fallbacks = new Map<string, TokenBucket>();
-	private readonly pending = new Map<number, (loan: Loan | undefined) => void>();
+	private readonly pendingLoans = new Map<number, (loan: Loan | undefined) => void>();
 	private nextLoan = 0;
 
 	constructor(private readonly options: ControllerOptions) {}
 
 	/**
-	 * Asks all limits of one request; none is charged unless all let it through.
+	 * Acquires the units and permits for all limits of one request; if one limit refuses, nothing is charged.
 	 *
-	 * @returns a function that gives the permits back when the request has ended
+	 * @returns a function that releases the permits when the request has ended
 	 */
 	async acquire(demands: readonly LimitDemand[]): Promise<Result<() => void, LimitRefusal>> {
 		const charged: LimitDemand[] = [];
@@ -68,34 +71,34 @@
 		});
 	}
 
-	/** Gives back units that a request turned out not to need. */
-	restore(name: string, amount: number): void {
-		const wallet = this.wallets.get(name);
-		if (wallet) {
-			wallet.amount += amount;
+	/** Returns units that a request did not use. */
+	returnUnits(name: string, amount: number): void {
+		const credit = this.credits.get(name);
+		if (credit) {
+			credit.amount += amount;
 		}
 	}
 
-	/** Answers another entry's wish, as the limit's home. */
-	lend(wish: MessageOf<'borrow'>, borrower: string, demand: Pick<LimitDemand, 'kind' | 'value'>, now: number): MessageOf<'lend'> {
-		const loan = this.lendScaled(wish.bucket, demand, borrower, wish.amount, now);
+	/** Answers a request of another entry, as the lender of the limit. */
+	lend(request: MessageOf<'borrow'>, borrower: string, demand: Pick<LimitDemand, 'kind' | 'value'>, now: number): MessageOf<'lend'> {
+		const loan = this.lendScaled(request.bucket, demand, borrower, request.amount, now);
 		return {
-			type: 'lend', loan: wish.loan, bucket: wish.bucket, ...loan,
+			type: 'lend', loan: request.loan, bucket: request.bucket, ...loan,
 		};
 	}
 
-	/** Takes a lender's answer. */
-	takeLoan(message: MessageOf<'lend'>): void {
-		this.pending.get(message.loan)?.(message);
-		this.pending.delete(message.loan);
+	/** Handles a lender's answer. */
+	receiveLoan(message: MessageOf<'lend'>): void {
+		this.pendingLoans.get(message.loan)?.(message);
+		this.pendingLoans.delete(message.loan);
 	}
 
-	/** Renews permits in use, and forgets what is idle. */
+	/** Renews permits in use, and drops unused credits and permits. */
 	tick(now: number): void {
 		this.options.lender.tick(now);
-		for (const [name, wallet] of this.wallets) {
-			if (now - wallet.lentAt > walletMs) {
-				this.wallets.delete(name);
+		for (const [name, credit] of this.credits) {
+			if (now - credit.borrowedAt > creditLifetimeMs) {
+				this.credits.delete(name);
 			}
 		}
 
@@ -103,7 +106,7 @@
 			if (permits.running === 0) {
 				this.permits.delete(name);
 				void this.borrow(permits.demand, 0);
-			} else if (now - permits.askedAt > renewMs) {
+			} else if (now - permits.requestedAt > permitRenewalMs) {
 				void this.renew(permits);
 			}
 		}
@@ -112,36 +115,36 @@
 	private async takeUnits(demand: LimitDemand): Promise<number | undefined> {
 		const {name, value, amount} = demand;
 		const now = this.options.clock();
-		const wallet = this.wallets.get(name) ?? {amount: 0, lentAt: now};
-		if (now - wallet.lentAt > walletMs) {
-			wallet.amount = 0;
+		const credit = this.credits.get(name) ?? {amount: 0, borrowedAt: now};
+		if (now - credit.borrowedAt > creditLifetimeMs) {
+			credit.amount = 0;
 		}
 
-		this.wallets.set(name, wallet);
-		if (wallet.amount < amount) {
-			const wanted = Math.max(amount - wallet.amount, value * chunkSeconds);
+		this.credits.set(name, credit);
+		if (credit.amount < amount) {
+			const wanted = Math.max(amount - credit.amount, value * borrowSeconds);
 			const loan = await this.borrow(demand, wanted);
-			wallet.amount += loan.amount;
-			wallet.lentAt = this.options.clock();
-			if (wallet.amount < amount) {
+			credit.amount += loan.amount;
+			credit.borrowedAt = this.options.clock();
+			if (credit.amount < amount) {
 				return Math.max(loan.retryAfterMs, 1);
 			}
 		}
 
-		wallet.amount -= amount;
+		credit.amount -= amount;
 		return undefined;
 	}
 
 	private async takePermit(demand: LimitDemand): Promise<number | undefined> {
 		const permits = this.permits.get(demand.name) ?? {
-			granted: 0, running: 0, demand, askedAt: 0,
+			granted: 0, running: 0, demand, requestedAt: 0,
 		};
 		this.permits.set(demand.name, permits);
 		permits.demand = demand;
 		if (permits.running >= permits.granted) {
 			const loan = await this.borrow(demand, permits.running + 1);
 			permits.granted = loan.amount;
-			permits.askedAt = this.options.clock();
+			permits.requestedAt = this.options.clock();
 			if (permits.running >= permits.granted) {
 				return Math.max(loan.retryAfterMs, 1);
 			}
@@ -152,7 +155,7 @@
 	}
 
 	private async renew(permits: Permits): Promise<void> {
-		permits.askedAt = this.options.clock();
+		permits.requestedAt = this.options.clock();
 		const loan = await this.borrow(permits.demand, permits.running);
 		permits.granted = loan.amount;
 	}
@@ -168,44 +171,44 @@
 		if (demand.kind === 'concurrency') {
 			this.release(demand);
 		} else {
-			this.restore(demand.name, demand.amount);
+			this.returnUnits(demand.name, demand.amount);
 		}
 	}
 
 	private async borrow(demand: LimitDemand, amount: number): Promise<Loan> {
-		const home = this.options.findHome(demand.name);
-		if (home === this.options.id) {
-			return this.lendScaled(demand.name, demand, home, amount, this.options.clock());
+		const lender = this.options.findLender(demand.name);
+		if (lender === this.options.id) {
+			return this.lendScaled(demand.name, demand, lender, amount, this.options.clock());
 		}
 
 		const loan = this.nextLoan++;
-		const isAsked = this.options.ask(home, {
+		const isSent = this.options.sendBorrow(lender, {
 			type: 'borrow', loan, bucket: demand.name, amount,
 		});
-		const answer = isAsked ? await this.waitForLoan(loan) : undefined;
-		return answer ?? this.lendAlone(demand, amount);
+		const answer = isSent ? await this.waitForLoan(loan) : undefined;
+		return answer ?? this.lendLocally(demand, amount);
 	}
 
 	private async waitForLoan(loan: number): Promise<Loan | undefined> {
 		return new Promise(resolve => {
 			const timer = setTimeout(() => {
-				this.pending.delete(loan);
+				this.pendingLoans.delete(loan);
 				resolve(undefined);
-			}, answerMs);
-			this.pending.set(loan, answer => {
+			}, lenderTimeoutMs);
+			this.pendingLoans.set(loan, answer => {
 				clearTimeout(timer);
 				resolve(answer);
 			});
 		});
 	}
 
-	/* Without the home, an entry keeps to its own part of what the visible zones may have. */
-	private lendAlone(demand: LimitDemand, amount: number): Loan {
+	/* Without the lender's answer, an entry uses an equal part of the limit, scaled to the reachable zones. */
+	private lendLocally(demand: LimitDemand, amount: number): Loan {
 		const now = this.options.clock();
-		const part = demand.value * this.options.getVisibleShare() / this.options.countEntries();
+		const part = demand.value * this.options.getReachableShare() / this.options.countEntries();
 		if (demand.kind === 'concurrency') {
 			const granted = Math.min(amount, Math.max(1, Math.floor(part)));
-			return {amount: granted, retryAfterMs: granted < amount ? answerMs : 0};
+			return {amount: granted, retryAfterMs: granted < amount ? lenderTimeoutMs : 0};
 		}
 
 		const bucket = this.fallbacks.get(demand.name) ?? new TokenBucket(part, Math.max(part, 1), now);
@@ -216,7 +219,7 @@
 	}
 
 	private lendScaled(name: string, demand: Pick<LimitDemand, 'kind' | 'value'>, borrower: string, amount: number, now: number): Loan {
-		const value = demand.value * this.options.getVisibleShare();
+		const value = demand.value * this.options.getReachableShare();
 		return this.options.lender.lend(name, {kind: demand.kind, value}, borrower, amount, now);
 	}
 }
--- a/src/link/link-protocol.ts
+++ /dev/null
@@ -1,2 +0,0 @@
-/** Version of the messages on links; a peer with another one is turned away. */
-export const linkProtocol = 2;
--- a/src/map-switch/group-planner.ts
+++ b/src/map-switch/group-planner.ts
@@ -12,55 +12,56 @@
 	readonly keyValue: KeyValue;
 	/** Weights of the group's row in the table. */
 	readonly getWeights: () => MapWeights;
-	/** Sends a message to rank 0's target process; false when it cannot be reached now. */
+	/** Sends a message to rank 0's target process; false if it is not connected. */
 	readonly send: (message: LinkMessage) => boolean;
 	readonly log: (message: string) => void;
-	/** Time between two looks at the loads, milliseconds. */
+	/** Time between two requests for the loads, milliseconds. */
 	readonly intervalMs: number;
 };
 
-type Term = {readonly lease: string; renewAt: number; expiresAt: number};
+type HeldLease = {readonly lease: string; renewAt: number; expiresAt: number};
 
+/** Duration of the planner's lease, seconds, and time between renewals, milliseconds. */
 const leaseSeconds = 10;
-const renewMs = 3000;
+const renewIntervalMs = 3000;
 
 /**
- * Plans the maps of one group, at the entry that holds the group's lease. The lease only keeps two entries from
- * doing the same work: what a planner that lost it proposes is refused by its fencing number.
+ * Plans the maps of one group, at the entry that holds the group's lease. The lease only avoids duplicate work: a
+ * proposal of a planner that has lost it is refused because of its fencing number.
  */
 export class GroupPlanner {
-	/** Why the map was last changed or left, for `explain`. */
+	/** Why the map was last changed or kept, for `explain`. */
 	lastDecision = 'no loads seen yet';
 
 	private planner: {readonly shape: string; readonly weights: string; readonly planner: MapPlanner} | undefined;
-	private term: Term | undefined;
-	private nextLookAt = 0;
+	private heldLease: HeldLease | undefined;
+	private nextRequestAt = 0;
 	private isBusy = false;
 
 	constructor(private readonly options: PlannerOptions) {}
 
 	/** Whether this entry plans for the group at `now`. */
 	isHolder(now: number): boolean {
-		return this.term !== undefined && now < this.term.expiresAt;
+		return this.heldLease !== undefined && now < this.heldLease.expiresAt;
 	}
 
-	/** Takes or keeps the lease, and asks for loads when it is time. */
+	/** Acquires or renews the lease, and requests the loads when they are due. */
 	async tick(now: number): Promise<void> {
 		if (this.isBusy) {
 			return;
 		}
 
 		this.isBusy = true;
-		await this.keepLease(now);
+		await this.maintainLease(now);
 		this.isBusy = false;
-		if (this.isHolder(now) && now >= this.nextLookAt) {
-			this.nextLookAt = now + this.options.intervalMs;
+		if (this.isHolder(now) && now >= this.nextRequestAt) {
+			this.nextRequestAt = now + this.options.intervalMs;
 			this.options.send({type: 'map-loads-wanted', group: this.options.group});
 		}
 	}
 
-	/** Takes the loads that rank 0 reported, and proposes another map if that pays. */
-	async takeLoads(report: MessageOf<'map-loads'>, now: number): Promise<void> {
+	/** Handles the loads that rank 0 reported; proposes another map if its gain exceeds its cost. */
+	async handleLoads(report: MessageOf<'map-loads'>, now: number): Promise<void> {
 		if (!this.isHolder(now)) {
 			return;
 		}
@@ -115,23 +116,23 @@
 		return this.planner.planner;
 	}
 
-	private async keepLease(now: number): Promise<void> {
+	private async maintainLease(now: number): Promise<void> {
 		const {keyValue, group, id} = this.options;
-		if (this.term && now < this.term.renewAt) {
+		if (this.heldLease && now < this.heldLease.renewAt) {
 			return;
 		}
 
-		if (this.term && now < this.term.expiresAt) {
-			const kept = await keyValue.keepLease(this.term.lease);
+		if (this.heldLease && now < this.heldLease.expiresAt) {
+			const kept = await keyValue.keepLease(this.heldLease.lease);
 			if (kept.isOk() && kept.value) {
-				this.term.expiresAt = now + (leaseSeconds * 1000);
+				this.heldLease.expiresAt = now + (leaseSeconds * 1000);
 			}
 
-			this.term.renewAt = now + renewMs;
+			this.heldLease.renewAt = now + renewIntervalMs;
 			return;
 		}
 
-		this.term = undefined;
+		this.heldLease = undefined;
 		const lease = await keyValue.grantLease(leaseSeconds);
 		if (lease.isErr()) {
 			return;
@@ -140,7 +141,7 @@
 		const key = groupKeys.planner(group);
 		const taken = await keyValue.commit({conditions: [{key, revision: 0}], puts: [{key, value: id, lease: lease.value}]});
 		if (taken.isOk() && taken.value !== undefined) {
-			this.term = {lease: lease.value, renewAt: now + renewMs, expiresAt: now + (leaseSeconds * 1000)};
+			this.heldLease = {lease: lease.value, renewAt: now + renewIntervalMs, expiresAt: now + (leaseSeconds * 1000)};
 		}
 	}
 }
--- a/src/maps/layer-search.ts
+++ b/src/maps/layer-search.ts
@@ -6,50 +6,50 @@
 	readonly canPlace?: (rank: number, expert: number) => boolean;
 };
 
-/* The peak is smoothed as a norm of rank loads of this order, so that lowering one of several equally hot ranks
- * already counts. It must be a power of two: the norm is taken by squaring. */
+/* The peak is smoothed as a norm of the rank loads of this order, so that lowering one of several equally loaded ranks
+ * already counts as a gain. The order must be a power of two, since powers are computed by squaring. */
 const squarings = 4;
-const order = 2 ** squarings;
-/** Improvements below this share of the mean rank load are rounding. */
-const leastGainShare = 1e-6;
-const none = -1;
-/** Deviations above its expected load that a rank is reckoned with; the largest of many ranks lies about there. */
+const normOrder = 2 ** squarings;
+/** Gains below this share of the mean rank load are rounding errors. */
+const minimumGainShare = 1e-6;
+const noSlot = -1;
+/** Standard deviations added to the expected load of a rank; the largest of many ranks lies about that far above its expectation. */
 const riskDeviations = 1.5;
 
 /**
- * One layer of a map in the middle of a search for better placements. Works on flat arrays, since the search looks
- * at every exchange with the hottest rank many times a plan.
+ * Local search for better placements in one layer of a map. Uses flat arrays for speed, since the search evaluates every
+ * exchange with the hottest rank many times per plan.
  */
 export class LayerSearch {
-	/** Expert in each slot, rank after rank. */
+	/** Expert in each slot, rank by rank. */
 	private readonly experts: Int32Array;
 	private readonly counts: Int32Array;
 	private readonly holders: number[][];
 	private readonly rankLoads: Float64Array;
 	private readonly powers: Float64Array;
-	private readonly isHeld: Uint8Array;
-	private readonly mean: number;
+	private readonly isPlaced: Uint8Array;
+	private readonly meanRankLoad: number;
 	private readonly slots: number;
-	/** Tokens of load that one unit of variance on a rank counts as. */
+	/** Tokens of load for one unit of variance on a rank. */
 	private readonly riskRate: number;
 	private readonly touched: Int32Array;
 	private readonly changes: Float64Array;
 	/** The best change found so far in one search; `otherIndex` is set for a swap. */
 	private readonly best = {
-		worth: 0, index: 0, expert: 0, otherIndex: none,
+		gainPerCopy: 0, index: 0, expert: 0, otherIndex: noSlot,
 	};
 
 	private touchedCount = 0;
 	private powerSum = 0;
-	/** How many times longer a rank takes for the same load. */
+	/** How many times slower each rank is with the same load. */
 	private readonly paces: readonly number[];
 	private readonly canPlace: (rank: number, expert: number) => boolean;
 
 	/**
 	 * @param map - expert ids on each rank
 	 * @param loads - expected tokens of each expert
-	 * @param variances - variance of each expert's load around that
-	 * @param limits - how slow each rank is (1 when absent), and which experts may be placed on it (any when absent)
+	 * @param variances - variance of each expert's load around its expectation
+	 * @param limits - how many times slower each rank is (1 if absent), and which experts may be placed on it (any if absent)
 	 */
 	constructor(map: ReadonlyArray<readonly number[]>, private readonly loads: Float64Array, private readonly variances: Float64Array, limits: SearchLimits = {}) {
 		const ranks = map.length;
@@ -59,7 +59,7 @@
 		this.experts = Int32Array.from(map.flat());
 		this.counts = new Int32Array(loads.length);
 		this.holders = Array.from({length: loads.length}, () => []);
-		this.isHeld = new Uint8Array(loads.length * ranks);
+		this.isPlaced = new Uint8Array(loads.length * ranks);
 		this.rankLoads = new Float64Array(ranks);
 		this.powers = new Float64Array(ranks);
 		this.changes = new Float64Array(ranks);
@@ -69,16 +69,16 @@
 			total += load;
 		}
 
-		this.mean = total / ranks;
+		this.meanRankLoad = total / ranks;
 		for (const [index, expert] of this.experts.entries()) {
-			this.hold(expert, Math.floor(index / this.slots));
+			this.addReplica(expert, Math.floor(index / this.slots));
 		}
 
 		this.riskRate = this.findRiskRate();
 		this.refresh();
 	}
 
-	/** The largest rank load, its risk included, tokens. */
+	/** Largest rank load including its risk, tokens. */
 	get peak(): number {
 		let peak = 0;
 		for (const load of this.rankLoads) {
@@ -90,38 +90,38 @@
 
 	/** Mean rank load, tokens. */
 	get meanLoad(): number {
-		return this.mean;
+		return this.meanRankLoad;
 	}
 
-	/** Standard deviation of the hottest rank's load, tokens. */
+	/** Returns the standard deviation of the hottest rank's load, tokens. */
 	getPeakDeviation(): number {
 		return Math.sqrt(this.getVariance(this.findHottest()));
 	}
 
-	/** The change that gains most for each copy it places; undefined when none gains. */
+	/** Finds the change with the highest gain per placed copy; undefined if none has a gain. */
 	findBest(): LayerChange | undefined {
 		const hot = this.findHottest();
-		this.best.worth = 0;
+		this.best.gainPerCopy = 0;
 		this.searchSwaps(hot);
 		this.searchReplicas(hot);
-		return this.best.worth > 0 ? this.describeBest() : undefined;
+		return this.best.gainPerCopy > 0 ? this.describeBest() : undefined;
 	}
 
-	/** Carries a change out. */
+	/** Applies a change. */
 	apply(change: LayerChange): void {
 		for (const {rank, slot} of change.placements) {
-			this.release(this.experts[(rank * this.slots) + slot], rank);
+			this.removeReplica(this.experts[(rank * this.slots) + slot], rank);
 		}
 
 		for (const {rank, slot, expert} of change.placements) {
 			this.experts[(rank * this.slots) + slot] = expert;
-			this.hold(expert, rank);
+			this.addReplica(expert, rank);
 		}
 
 		this.refresh();
 	}
 
-	/** The layer as a map. */
+	/** Returns the layer as a map: expert ids on each rank. */
 	toMap(): number[][] {
 		return Array.from(this.rankLoads, (_load, rank) => [...this.experts.subarray(rank * this.slots, (rank + 1) * this.slots)]);
 	}
@@ -129,7 +129,7 @@
 	private searchSwaps(hot: number): void {
 		for (let index = hot * this.slots; index < (hot + 1) * this.slots; index++) {
 			const expert = this.experts[index];
-			const share = this.weigh(expert, this.counts[expert]);
+			const share = this.getReplicaLoad(expert, this.counts[expert]);
 			for (let rank = 0; rank < this.rankLoads.length; rank++) {
 				if (rank === hot || this.isOn(expert, rank)) {
 					continue;
@@ -147,7 +147,7 @@
 
 		for (let otherIndex = rank * this.slots; otherIndex < (rank + 1) * this.slots; otherIndex++) {
 			const other = this.experts[otherIndex];
-			const difference = share - this.weigh(other, this.counts[other]);
+			const difference = share - this.getReplicaLoad(other, this.counts[other]);
 			const added = difference * this.paces[rank];
 			if (difference <= 0 || this.rankLoads[rank] + added >= this.rankLoads[hot] || this.isOn(other, hot) || !this.canPlace(hot, other)) {
 				continue;
@@ -155,8 +155,8 @@
 
 			const delta = this.power(this.rankLoads[hot] - (difference * this.paces[hot])) + this.power(this.rankLoads[rank] + added)
 				- this.powers[hot] - this.powers[rank];
-			if (-delta / 2 > this.best.worth) {
-				this.best.worth = -delta / 2;
+			if (-delta / 2 > this.best.gainPerCopy) {
+				this.best.gainPerCopy = -delta / 2;
 				this.best.index = index;
 				this.best.expert = other;
 				this.best.otherIndex = otherIndex;
@@ -164,7 +164,7 @@
 		}
 	}
 
-	/* One more replica of an expert of the hottest rank anywhere, or a lighter expert in place of one of its replicas. */
+	/* Considers one more replica, on any rank, of an expert of the hottest rank, and a lighter expert in place of one of that rank's replicas. */
 	private searchReplicas(hot: number): void {
 		const hotStart = hot * this.slots;
 		const hotEnd = hotStart + this.slots;
@@ -192,25 +192,25 @@
 			return;
 		}
 
-		const share = this.weigh(expert, this.counts[expert]);
-		const newShare = this.weigh(expert, this.counts[expert] + 1);
-		const evictedShare = this.weigh(evicted, this.counts[evicted]);
-		const newEvictedShare = this.weigh(evicted, this.counts[evicted] - 1);
+		const share = this.getReplicaLoad(expert, this.counts[expert]);
+		const newShare = this.getReplicaLoad(expert, this.counts[expert] + 1);
+		const evictedShare = this.getReplicaLoad(evicted, this.counts[evicted]);
+		const newEvictedShare = this.getReplicaLoad(evicted, this.counts[evicted] - 1);
 		this.touch(rank, newShare - evictedShare);
-		this.touchHolders(expert, newShare - share, none);
+		this.touchHolders(expert, newShare - share, noSlot);
 		this.touchHolders(evicted, newEvictedShare - evictedShare, rank);
 
-		const worth = -this.settleTouched();
-		if (worth > this.best.worth) {
-			this.best.worth = worth;
+		const gainPerCopy = -this.sumTouchedChanges();
+		if (gainPerCopy > this.best.gainPerCopy) {
+			this.best.gainPerCopy = gainPerCopy;
 			this.best.index = index;
 			this.best.expert = expert;
-			this.best.otherIndex = none;
+			this.best.otherIndex = noSlot;
 		}
 	}
 
-	/* Sums up what the touched ranks change in the power sum, and forgets them. */
-	private settleTouched(): number {
+	/* Returns the change of the power sum over all touched ranks, and clears them. */
+	private sumTouchedChanges(): number {
 		let delta = 0;
 		for (let position = 0; position < this.touchedCount; position++) {
 			const rank = this.touched[position];
@@ -224,7 +224,7 @@
 		return delta;
 	}
 
-	/* What stands for free slots has no load, and more replicas than there are ranks: it changes nothing, and is passed over. */
+	/* The expert that represents free slots has no load and may have more replicas than there are ranks; it changes nothing and is skipped. */
 	private touchHolders(expert: number, change: number, exceptRank: number): void {
 		if (change === 0) {
 			return;
@@ -242,18 +242,18 @@
 		this.changes[rank] += change * this.paces[rank];
 	}
 
-	/* Turns the change of the power sum into tokens of the smoothed peak. */
+	/* Converts the change of the power sum to tokens of the smoothed peak. */
 	private describeBest(): LayerChange | undefined {
-		const {index, otherIndex, expert, worth} = this.best;
+		const {index, otherIndex, expert, gainPerCopy} = this.best;
 		const placements = [this.makePlacement(index, expert)];
-		if (otherIndex !== none) {
+		if (otherIndex !== noSlot) {
 			placements.push(this.makePlacement(otherIndex, this.experts[index]));
 		}
 
-		const before = this.powerSum ** (1 / order);
-		const after = Math.max(0, this.powerSum - (worth * placements.length)) ** (1 / order);
-		const gain = (before - after) * this.mean;
-		return gain > this.mean * leastGainShare ? {placements, gain} : undefined;
+		const before = this.powerSum ** (1 / normOrder);
+		const after = Math.max(0, this.powerSum - (gainPerCopy * placements.length)) ** (1 / normOrder);
+		const gain = (before - after) * this.meanRankLoad;
+		return gain > this.meanRankLoad * minimumGainShare ? {placements, gain} : undefined;
 	}
 
 	private makePlacement(index: number, expert: number): Placement {
@@ -261,26 +261,26 @@
 	}
 
 	private isOn(expert: number, rank: number): boolean {
-		return this.isHeld[(expert * this.rankLoads.length) + rank] === 1;
+		return this.isPlaced[(expert * this.rankLoads.length) + rank] === 1;
 	}
 
-	private hold(expert: number, rank: number): void {
+	private addReplica(expert: number, rank: number): void {
 		this.counts[expert]++;
 		this.holders[expert].push(rank);
-		this.isHeld[(expert * this.rankLoads.length) + rank] = 1;
+		this.isPlaced[(expert * this.rankLoads.length) + rank] = 1;
 	}
 
-	private release(expert: number, rank: number): void {
+	private removeReplica(expert: number, rank: number): void {
 		this.counts[expert]--;
 		this.holders[expert].splice(this.holders[expert].indexOf(rank), 1);
-		this.isHeld[(expert * this.rankLoads.length) + rank] = 0;
+		this.isPlaced[(expert * this.rankLoads.length) + rank] = 0;
 	}
 
 	private refresh(): void {
 		this.rankLoads.fill(0);
 		for (const [index, expert] of this.experts.entries()) {
 			const rank = Math.floor(index / this.slots);
-			this.rankLoads[rank] += this.weigh(expert, this.counts[expert]) * this.paces[rank];
+			this.rankLoads[rank] += this.getReplicaLoad(expert, this.counts[expert]) * this.paces[rank];
 		}
 
 		this.powerSum = 0;
@@ -290,12 +290,12 @@
 		}
 	}
 
-	/* What one replica of an expert puts on its rank: its share of the load, and the risk of that share. */
-	private weigh(expert: number, count: number): number {
+	/* Load of one replica of an expert on its rank: its share of the expert's load, plus the risk of that share. */
+	private getReplicaLoad(expert: number, count: number): number {
 		return (this.loads[expert] / count) + (this.riskRate * this.variances[expert] / (count * count));
 	}
 
-	/* The risk of a rank is some deviations of its load. It is taken as linear in the variance around the present mean. */
+	/* The risk of a rank is `riskDeviations` standard deviations of its load, linearised in the variance around the current mean variance. */
 	private findRiskRate(): number {
 		let variance = 0;
 		for (let rank = 0; rank < this.rankLoads.length; rank++) {
@@ -316,7 +316,7 @@
 	}
 
 	private power(load: number): number {
-		let value = load / this.mean;
+		let value = load / this.meanRankLoad;
 		for (let step = 0; step < squarings; step++) {
 			value *= value;
 		}
--- a/src/mesh/entry-mesh.ts
+++ b/src/mesh/entry-mesh.ts
@@ -1,4 +1,4 @@
-import {type LoadBoard} from '../balance/load-board.js';
+import {type InFlightCounts} from '../balance/in-flight-counts.js';
 import {type LinkConnection} from '../link/link-connection.js';
 import {type LinkMessage} from '../link/link-message.js';
 import {type MessageOf} from '../link/message-of.js';
@@ -10,77 +10,79 @@
 
 type MeshOptions = {
 	readonly id: string;
-	/** Address and port of this entry's links; peers are named by theirs. */
+	/** Address and port of this entry's links; peers are identified by theirs. */
 	readonly address: string;
 	readonly availabilityZone: string;
 	readonly connect: (address: string) => Promise<LinkConnection>;
 	readonly hello: () => LinkMessage;
 	readonly view: StoreView;
-	/** Version of the configuration in force at this entry; 0 while none is. */
+	/** Version of the configuration in use at this entry; 0 when there is none. */
 	readonly getConfigurationVersion: () => number;
-	readonly board: LoadBoard;
-	/** What peers are told of targets and requests; all of it where the peer may have heard nothing yet. */
-	readonly getDigest: (isWhole: boolean, now: number) => EntryDigest;
-	/** Told of what a peer tells, at each of its reports, and whether it is in the same zone. */
-	readonly onDigest: (peer: string, digest: EntryDigest, isNear: boolean, now: number) => void;
-	/** Told of messages that are not about the peers themselves; `send` answers on the same link. */
+	/** Requests in flight of this entry and its peers. */
+	readonly board: InFlightCounts;
+	/** Gets what is reported to peers on targets and requests; `isFull` for a peer that may not have received any report yet. */
+	readonly getDigest: (isFull: boolean, now: number) => EntryDigest;
+	/** Called with the digest in each report of a peer; `isSameZone`: the peer is in this entry's availability zone. */
+	readonly onDigest: (peer: string, digest: EntryDigest, isSameZone: boolean, now: number) => void;
+	/** Called with messages that do not concern the mesh itself; `send` answers on the same link. */
 	readonly onMessage: (message: LinkMessage, send: (message: LinkMessage) => boolean) => void;
 	readonly clock: () => number;
 	readonly random: () => number;
 	readonly log: (message: string) => void;
 };
 
-/** A peer, in a zone that is not known before it was heard. */
-type Peer = {readonly link: PersistentLink; heardAt: number; availabilityZone: string | undefined};
+/** A peer; its availability zone is unknown until its first report. Times in milliseconds. */
+type Peer = {readonly link: PersistentLink; lastSeenAt: number; availabilityZone: string | undefined};
 
 /**
- * Least time between two reports of what is in flight, milliseconds: for each peer, so that a burst costs the same
- * whatever their number, and at most: what is in flight at a target changes many times a second.
+ * Minimum interval between two reports of requests in flight, milliseconds: for each peer, so that a burst costs the same regardless
+ * of their number, and its upper bound, since the counts change many times per second.
  */
 const reportMsPerPeer = 10;
-const mostReportMs = 200;
+const maximumReportMs = 200;
 /**
- * Least time between two reports to peers in other zones, milliseconds. What is in flight there is used where the own zone
- * is full, and lasts for a second or two; with 32 entries in three zones two thirds of all reports go to other zones.
+ * Minimum interval between two reports to peers in other zones, milliseconds. Counts of other zones only matter when the own zone
+ * is full, which lasts for a second or two; with 32 entries in three zones, two thirds of all reports go to other zones.
  */
-const farReportMs = 700;
-/** Longest time between two reports, milliseconds: peers tell a quiet entry from a lost one by it. */
-const quietMs = 500;
+const remoteZoneReportMs = 700;
+/** Maximum interval between two reports, milliseconds; it serves as a heartbeat. */
+const heartbeatMs = 500;
 /**
- * Time between two reports that name the peers known, milliseconds. Each new link begins with one, so that an entry that
- * starts while the store is down hears of all at once; with 32 entries they are larger than all else that is reported.
+ * Interval between two reports that list the known peers, milliseconds. The first report on each link lists them too, so that an
+ * entry that starts while the store is down learns of all peers at once. With 32 entries the list is larger than the rest of a report.
  */
-const peersMs = 10_000;
-/** A link on which a peer was not heard for so long is cut and opened anew, milliseconds. */
-const lostMs = 1500;
-const maximumDelayMs = 800;
-/** Time between two questions for a peer's view, milliseconds. */
-const wantedMs = 300;
-/** The same for a configuration that was asked for before. */
-const askAgainMs = 5000;
-/** Before all that a view may be of. */
-const anyRevision: Revision = {era: 0, number: 0};
+const peerListMs = 10_000;
+/** A link on which nothing was received for this time is cut and reopened, milliseconds. */
+const linkTimeoutMs = 1500;
+/** Maximum backoff between attempts to open a link, milliseconds. */
+const maximumBackoffMs = 800;
+/** Minimum interval between two requests for a peer's view, milliseconds. */
+const viewRequestMs = 300;
+/** Minimum interval between two requests for the same version of a configuration, milliseconds. */
+const configurationRetryMs = 5000;
+/** Precedes every revision that a view may have. */
+const zeroRevision: Revision = {era: 0, number: 0};
 
 /**
- * The entries' links to each other. Each tells the others what it has in flight, so that all choose targets by the
- * same counts, and how current its view of the store is, so that one cut off from the store can take a peer's.
+ * Links between entries. Each entry reports its requests in flight to the others, so that all choose targets by the same counts,
+ * and the revision and age of its view of the store, so that an entry that has lost the store can take a peer's view.
  */
 export class EntryMesh {
 	private readonly peers = new Map<string, Peer>();
 	private reportedAt = 0;
-	private peersToldAt = 0;
-	private farReportedAt = 0;
-	private lastReport = '';
+	private peerListSentAt = 0;
+	private remoteZoneReportedAt = 0;
+	private lastSummary = '';
 	private timer: NodeJS.Timeout | undefined;
-	private wantedAt = Number.NEGATIVE_INFINITY;
-	private hasPeerView = false;
-	/** Version of a peer's configuration that was asked for last, and when, milliseconds. */
-	private asked = {configurationVersion: 0, at: Number.NEGATIVE_INFINITY};
+	private viewRequestedAt = Number.NEGATIVE_INFINITY;
+	private hasPeerSnapshot = false;
+	/** Version of a peer's configuration that was requested last, and when, milliseconds. */
+	private lastConfigurationRequest = {configurationVersion: 0, at: Number.NEGATIVE_INFINITY};
 
 	constructor(private readonly options: MeshOptions) {}
 
-	/** Opens links to entries that are not known yet. */
-	meet(addresses: readonly string[]): void {
+	/** Opens links to the entries at these addresses that are not known yet. */
+	addPeers(addresses: readonly string[]): void {
 		for (const address of addresses) {
 			if (address !== this.options.address && !this.peers.has(address)) {
 				this.open(address);
@@ -88,41 +90,41 @@
 		}
 	}
 
-	/** Reports what changed, and cuts links that have gone silent. */
+	/** Sends a report if something has changed or a heartbeat is due, and cuts links that have timed out. */
 	tick(): void {
 		const now = this.options.clock();
 		this.report(now);
 		for (const peer of this.peers.values()) {
-			if (peer.link.current && now - peer.heardAt > lostMs) {
-				peer.heardAt = now;
-				peer.link.cut();
+			if (peer.link.current && now - peer.lastSeenAt > linkTimeoutMs) {
+				peer.lastSeenAt = now;
+				peer.link.disconnect();
 			}
 		}
 	}
 
-	/** Reports to all peers, in whatever zone, what cannot wait. */
+	/** Sends a report to all peers at once, in every zone, for changes that cannot wait. */
 	reportNow(): void {
-		this.farReportedAt = Number.NEGATIVE_INFINITY;
+		this.remoteZoneReportedAt = Number.NEGATIVE_INFINITY;
 		this.report(this.options.clock());
 	}
 
-	/** Reports soon what has just changed. */
+	/** Schedules a report of a change, within the minimum interval. */
 	reportSoon(): void {
 		const now = this.options.clock();
 		this.timer ??= setTimeout(() => {
 			this.timer = undefined;
 			this.report(this.options.clock());
-		}, Math.max(0, this.reportedAt + Math.min(mostReportMs, reportMsPerPeer * this.peers.size) - now));
+		}, Math.max(0, this.reportedAt + Math.min(maximumReportMs, reportMsPerPeer * this.peers.size) - now));
 	}
 
-	/** Addresses of peers that are heard now. */
-	listHeard(now: number): string[] {
-		return [...this.peers].filter(([, {link, heardAt}]) => link.current !== undefined && now - heardAt <= lostMs).map(([address]) => address);
+	/** Addresses of the peers whose link is open and has not timed out. */
+	listLivePeers(now: number): string[] {
+		return [...this.peers].filter(([, {link, lastSeenAt}]) => link.current !== undefined && now - lastSeenAt <= linkTimeoutMs).map(([address]) => address);
 	}
 
-	/** Whether a peer has passed on its view since the start. */
-	get hasHeardView(): boolean {
-		return this.hasPeerView;
+	/** Whether a peer has sent its view since the start. */
+	get hasReceivedView(): boolean {
+		return this.hasPeerSnapshot;
 	}
 
 	/** Sends a peer a message; false when there is no link to it. */
@@ -130,7 +132,7 @@
 		return this.peers.get(address)?.link.current?.send(message) ?? false;
 	}
 
-	/** Handles a message of a peer; `send` answers on the same link. */
+	/** Handles a peer's message; `send` answers on the same link. */
 	receive(message: LinkMessage, send: (message: LinkMessage) => boolean): void {
 		switch (message.type) {
 			case 'entry-load': {
@@ -148,10 +150,10 @@
 			}
 
 			case 'view-offered': {
-				this.hasPeerView = true;
-				if (this.options.view.takeSnapshot(message.view)) {
+				this.hasPeerSnapshot = true;
+				if (this.options.view.mergeSnapshot(message.view)) {
 					const {era, number} = message.view.asOf;
-					this.options.log(`took a peer's view of era ${era} revision ${number}`);
+					this.options.log(`using a peer's view of era ${era} revision ${number}`);
 				}
 
 				break;
@@ -173,19 +175,19 @@
 	private open(address: string): void {
 		const {connect, hello, clock, random} = this.options;
 		const peer: Peer = {
-			heardAt: clock(),
+			lastSeenAt: clock(),
 			availabilityZone: undefined,
 			link: new PersistentLink({
 				connect: async () => connect(address),
 				random,
-				maximumDelayMs,
+				maximumDelayMs: maximumBackoffMs,
 				onLost() {
-					peer.heardAt = clock();
+					peer.lastSeenAt = clock();
 				},
 				onOpen: connection => {
-					peer.heardAt = clock();
+					peer.lastSeenAt = clock();
 					connection.onMessage(message => {
-						peer.heardAt = clock();
+						peer.lastSeenAt = clock();
 						this.receive(message, reply => connection.send(reply));
 					});
 					connection.send(hello());
@@ -201,71 +203,71 @@
 		const now = clock();
 		board.merge(message.id, message.inFlight, now);
 		onDigest(message.id, message, message.availabilityZone === availabilityZone, now);
-		this.meet([message.address, ...message.peers ?? []]);
+		this.addPeers([message.address, ...message.peers ?? []]);
 		const peer = this.peers.get(message.address);
 		if (peer) {
-			peer.heardAt = now;
+			peer.lastSeenAt = now;
 			peer.availabilityZone = message.availabilityZone;
 		}
 
 		view.noteEra(message.viewRevision.era);
-		const after = this.chooseWanted(message, now);
-		if (after && now - this.wantedAt >= wantedMs) {
-			this.wantedAt = now;
+		const after = this.findWantedRevision(message, now);
+		if (after && now - this.viewRequestedAt >= viewRequestMs) {
+			this.viewRequestedAt = now;
 			send({type: 'view-wanted', after});
 		}
 	}
 
-	/* The revision after which a peer's view is wanted; undefined when it is not. */
-	private chooseWanted({viewRevision, viewAgeMs, configurationVersion}: MessageOf<'entry-load'>, now: number): Revision | undefined {
+	/* The revision after which a peer's view is requested; undefined when it is not needed. */
+	private findWantedRevision({viewRevision, viewAgeMs, configurationVersion}: MessageOf<'entry-load'>, now: number): Revision | undefined {
 		const {view, getConfigurationVersion} = this.options;
-		// With the store in reach, the own wait brings a change sooner than a peer, as a rule.
+		// While the store is reachable, changes usually arrive sooner from it than from a peer.
 		if (isLater(viewRevision, view.asOf)) {
-			const isStale = view.isCutOff || !view.isKnown || view.getAge(now) > viewAgeMs + quietMs;
+			const isStale = view.isStoreUnavailable || !view.isLoaded || view.getAge(now) > viewAgeMs + heartbeatMs;
 			return isStale ? view.asOf : undefined;
 		}
 
-		// A store that has come back from a copy may have less than a peer knows, which an entry that has just started cannot tell.
-		const isFirst = viewRevision.number > 0 && !this.hasPeerView;
-		const hasLess = configurationVersion > getConfigurationVersion() && this.mayAsk(configurationVersion, now);
-		return isFirst || hasLess ? anyRevision : undefined;
+		// A store that was restored from a backup may have less than a peer knows, which an entry that has just started cannot detect.
+		const isFirstSnapshot = viewRevision.number > 0 && !this.hasPeerSnapshot;
+		const isOutdated = configurationVersion > getConfigurationVersion() && this.mayRequestConfiguration(configurationVersion, now);
+		return isFirstSnapshot || isOutdated ? zeroRevision : undefined;
 	}
 
-	/* A configuration that this entry cannot use is not asked for at each report of a peer that can. */
-	private mayAsk(configurationVersion: number, now: number): boolean {
-		if (configurationVersion <= this.asked.configurationVersion && now - this.asked.at < askAgainMs) {
+	/* Limits repeated requests for a configuration that this entry cannot use, though a peer can. */
+	private mayRequestConfiguration(configurationVersion: number, now: number): boolean {
+		if (configurationVersion <= this.lastConfigurationRequest.configurationVersion && now - this.lastConfigurationRequest.at < configurationRetryMs) {
 			return false;
 		}
 
-		this.asked = {configurationVersion, at: now};
+		this.lastConfigurationRequest = {configurationVersion, at: now};
 		return true;
 	}
 
 	private report(now: number): void {
-		const namesPeers = now - this.peersToldAt >= peersMs;
+		const includesPeers = now - this.peerListSentAt >= peerListMs;
 		const {board, view, getConfigurationVersion, getDigest} = this.options;
-		const news = getDigest(false, now);
-		// How old a digest's limit is grows with time, and is no change.
-		const summary = JSON.stringify([board.getOwn(), view.asOf, getConfigurationVersion(), {...news, limits: news.limits?.map(({agoMs, ...limit}) => limit)}]);
-		if (summary === this.lastReport && now - this.reportedAt < quietMs) {
+		const digest = getDigest(false, now);
+		// The age of a limit grows with time; it does not count as a change.
+		const summary = JSON.stringify([board.getOwnCounts(), view.asOf, getConfigurationVersion(), {...digest, limits: digest.limits?.map(({agoMs, ...limit}) => limit)}]);
+		if (summary === this.lastSummary && now - this.reportedAt < heartbeatMs) {
 			return;
 		}
 
-		this.lastReport = summary;
+		this.lastSummary = summary;
 		this.reportedAt = now;
-		this.peersToldAt = namesPeers ? now : this.peersToldAt;
-		const report = this.makeReport(namesPeers);
-		const isFarDue = now - this.farReportedAt >= farReportMs;
-		this.farReportedAt = isFarDue ? now : this.farReportedAt;
+		this.peerListSentAt = includesPeers ? now : this.peerListSentAt;
+		const report = this.makeReport(includesPeers);
+		const isRemoteZoneDue = now - this.remoteZoneReportedAt >= remoteZoneReportMs;
+		this.remoteZoneReportedAt = isRemoteZoneDue ? now : this.remoteZoneReportedAt;
 		for (const {link, availabilityZone} of this.peers.values()) {
-			const isNear = availabilityZone === undefined || availabilityZone === this.options.availabilityZone;
-			if (isNear || isFarDue) {
+			const isSameZone = availabilityZone === undefined || availabilityZone === this.options.availabilityZone;
+			if (isSameZone || isRemoteZoneDue) {
 				link.current?.send(report);
 			}
 		}
 	}
 
-	private makeReport(namesPeers: boolean): MessageOf<'entry-load'> {
+	private makeReport(includesPeers: boolean): MessageOf<'entry-load'> {
 		const {id, address, availabilityZone, board, view, getConfigurationVersion, clock, getDigest} = this.options;
 		const now = clock();
 		return {
@@ -276,9 +278,9 @@
 			viewRevision: view.asOf,
 			configurationVersion: getConfigurationVersion(),
 			viewAgeMs: Math.min(Number.MAX_SAFE_INTEGER, Math.max(0, Math.round(view.getAge(now)))),
-			inFlight: board.getOwn(),
-			...getDigest(namesPeers, now),
-			...(namesPeers && {peers: [...this.peers.keys()]}),
+			inFlight: board.getOwnCounts(),
+			...getDigest(includesPeers, now),
+			...(includesPeers && {peers: [...this.peers.keys()]}),
 		};
 	}
 }
--- a/src/requests/filters/make-terms-filter.ts
+++ b/src/requests/filters/make-call-options-filter.ts
@@ -3,13 +3,14 @@
 import {type Filter} from '../filter.js';
 import {Problem} from '../problem.js';
 
-/* RFC 9218: the member u of the dictionary, 0 to 7. */
+/* Member `u` of the `Priority` header (RFC 9218), 0 to 7. */
 const urgencyMember = /(?:^|,)\s*u=(?<urgency>[0-7])\s*(?:[,;]|$)/v;
 const safeMethods = new Set(['GET', 'HEAD', 'OPTIONS', 'PUT', 'DELETE']);
+/** Characters of an idempotency key at most. */
 const maximumKeyLength = 255;
 
-/** Reads what the caller says of deadline, priority and repetition. */
-export function makeTermsFilter(defaultTimeoutMs: number): Filter {
+/** Reads the caller's options from the headers: deadline, priority, and whether the request may be repeated. */
+export function makeCallOptionsFilter(defaultTimeoutMs: number): Filter {
 	return async (exchange, next) => {
 		const problem = readTimeout(exchange, defaultTimeoutMs) ?? readRepetition(exchange);
 		if (problem) {
@@ -17,9 +18,9 @@
 		}
 
 		const urgency = urgencyMember.exec(String(exchange.headers.priority ?? ''))?.groups?.urgency;
-		const usual = exchange.row?.urgency ?? exchange.urgency;
-		// A caller may make its own request wait, not overtake what its row grants.
-		exchange.urgency = urgency === undefined ? usual : Math.max(usual, Number(urgency));
+		const rowUrgency = exchange.row?.urgency ?? exchange.urgency;
+		// A caller may lower the priority of its request, but not raise it above that of its row.
+		exchange.urgency = urgency === undefined ? rowUrgency : Math.max(rowUrgency, Number(urgency));
 		return next();
 	};
 }
@@ -36,9 +37,9 @@
 }
 
 function readRepetition(exchange: Exchange): Problem | undefined {
-	const word = exchange.headers['wardswitch-repeatable'];
-	if (word !== undefined && word !== 'yes' && word !== 'no') {
-		return makeBadRequest(`Wardswitch-Repeatable: expected "yes" or "no", not "${String(word)}"`);
+	const repeatable = exchange.headers['wardswitch-repeatable'];
+	if (repeatable !== undefined && repeatable !== 'yes' && repeatable !== 'no') {
+		return makeBadRequest(`Wardswitch-Repeatable: expected "yes" or "no", not "${String(repeatable)}"`);
 	}
 
 	const key = exchange.headers['idempotency-key'];
@@ -47,14 +48,14 @@
 		return makeBadRequest(`Idempotency-Key: expected 1 to ${maximumKeyLength} characters`);
 	}
 
-	if (word === 'no' && key === undefined && ticket === undefined) {
+	if (repeatable === 'no' && key === undefined && ticket === undefined) {
 		return makeBadRequest('Idempotency-Key: expected with "Wardswitch-Repeatable: no"');
 	}
 
-	const isUsuallyRepeatable = exchange.kind === 'model' || safeMethods.has(exchange.method);
-	exchange.key = word === 'yes' || key === undefined ? undefined : String(key);
-	exchange.ticket = word === 'yes' || ticket === undefined ? undefined : String(ticket);
-	exchange.isRepeatable = word === undefined ? isUsuallyRepeatable : word === 'yes';
+	const isRepeatableByDefault = exchange.kind === 'model' || safeMethods.has(exchange.method);
+	exchange.key = repeatable === 'yes' || key === undefined ? undefined : String(key);
+	exchange.ticket = repeatable === 'yes' || ticket === undefined ? undefined : String(ticket);
+	exchange.isRepeatable = repeatable === undefined ? isRepeatableByDefault : repeatable === 'yes';
 	return undefined;
 }
 
--- a/src/requests/filters/make-dispatch-filter.ts
+++ b/src/requests/filters/make-dispatch-filter.ts
@@ -2,7 +2,7 @@
 import {err, ok, type Result} from 'neverthrow';
 import {ClaimStore} from '../../once/claim-store.js';
 import {makeClaimGuard} from '../../once/make-claim-guard.js';
-import {makeFreeGuard} from '../../once/make-free-guard.js';
+import {makeUnkeyedGuard} from '../../once/make-unkeyed-guard.js';
 import {makeTicketGuard} from '../../once/make-ticket-guard.js';
 import {readTicket} from '../../once/read-ticket.js';
 import {type RunGuard} from '../../once/run-guard.js';
@@ -18,7 +18,7 @@
 	readonly clock: () => number;
 };
 
-/** Ends the chain: guards the request against a second run as its caller asked, and dispatches it. */
+/** Last filter of the chain: dispatches the request under the guard against repeated runs that its caller asked for (ticket, key or none). */
 export function makeDispatchFilter(options: DispatchFilterOptions): Filter {
 	return async exchange => {
 		const guard = makeGuard(exchange, options);
@@ -42,13 +42,13 @@
 		}));
 	}
 
-	return ok(makeFreeGuard(exchange.isRepeatable));
+	return ok(makeUnkeyedGuard(exchange.isRepeatable));
 }
 
 function checkTicket(exchange: Exchange, options: DispatchFilterOptions): Result<RunGuard, Problem> {
 	const ticket = readTicket(exchange.ticket!, options.linkKey);
-	const isOurs = ticket?.service === exchange.service && ticket.organisation === exchange.organisation;
-	if (!ticket || !isOurs) {
+	const isForRequest = ticket?.service === exchange.service && ticket.organisation === exchange.organisation;
+	if (!ticket || !isForRequest) {
 		return err(new Problem({
 			status: 400, title: 'Bad ticket', detail: 'Wardswitch-Ticket: expected a ticket of this service and organisation', outcome: 'not-run',
 		}));
--- a/src/table/table-controller.ts
+++ b/src/table/table-controller.ts
@@ -2,7 +2,7 @@
 import {type MessageOf} from '../link/message-of.js';
 import {type KeyValue} from '../key-value/key-value.js';
 import {fetchTable} from './fetch-table.js';
-import {readTable} from './read-table.js';
+import {fetchSnapshot} from './fetch-snapshot.js';
 import {TableHead} from './table-head.js';
 import {tableKeys} from './table-keys.js';
 import {type TablePage} from './table-page.js';
@@ -12,36 +12,37 @@
 	readonly keyValue: KeyValue;
 	readonly random: () => number;
 	readonly log: (message: string) => void;
-	/** Called after a version came into force. */
+	/** Called after a version has come into force. */
 	readonly onInstall: (table: TableSnapshot) => void;
 };
 
-/** A wish for the pages of one version is sent again only after this time, milliseconds. */
-const askAgainMs = 500;
-const firstBackoffMs = 200;
+/** Minimum time before the pages of a version are requested from a peer again, milliseconds. */
+const requestRetryMs = 500;
+/** Backoff after failed reads of the platform, milliseconds; doubled at each failure. */
+const initialBackoffMs = 200;
 const maximumBackoffMs = 30_000;
-/** How often a process that holds no watch looks at the platform by itself, milliseconds. */
-const fallbackMs = 60_000;
+/** Mean interval at which an entry without a watch polls the platform, milliseconds. */
+const pollIntervalMs = 60_000;
 
 /**
- * Keeps the table in force at this process.
+ * Keeps the table of this entry up to date.
  *
- * A version only ever goes up. It comes from the platform if this entry watches for its zone, and from peers
- * otherwise; whoever holds an older one, peer or platform, is not obeyed.
+ * The version never decreases: older versions are ignored, whether they come from a peer or from the platform. A few
+ * entries of each availability zone watch the platform; the others get new versions from peers.
  */
 export class TableController {
-	/** What the platform was last seen to hold, if that is older than, or other than, what is in force. */
-	trouble: string | undefined;
-	/** When the platform last answered, milliseconds since the epoch; 0: never. */
-	platformAt = 0;
+	/** How the platform or a peer differs from the table in force: an older version, or another change of the same version. Shown in /status. */
+	divergence: string | undefined;
+	/** Time of the last successful read of the platform, milliseconds since the epoch; 0 if there was none. */
+	platformReadAt = 0;
 
 	private table: TableSnapshot | undefined;
 	private isWatcher = false;
-	private watch: AbortController | undefined;
+	private watchAbort: AbortController | undefined;
 	private nextFetchAt = 0;
-	private backoffMs = firstBackoffMs;
-	private askedAt = 0;
-	private askedVersion = 0;
+	private backoffMs = initialBackoffMs;
+	private requestedAt = 0;
+	private requestedVersion = 0;
 	private isFetching = false;
 
 	constructor(private readonly options: ControllerOptions) {}
@@ -58,20 +59,20 @@
 		return this.table?.head.changeId ?? '';
 	}
 
-	/** Tells whether this entry watches the platform for its zone. */
+	/** Sets whether this entry watches the platform for its availability zone. */
 	setWatcher(isWatcher: boolean, now: number): void {
 		if (isWatcher === this.isWatcher) {
 			return;
 		}
 
 		this.isWatcher = isWatcher;
-		this.watch?.abort();
-		this.nextFetchAt = isWatcher ? now : now + fallbackMs;
+		this.watchAbort?.abort();
+		this.nextFetchAt = isWatcher ? now : now + pollIntervalMs;
 	}
 
-	/** Fetches from the platform when it is time: at the start, as a watcher, or after a long silence. */
+	/** Reads the table from the platform if a read is due: at the start, as a watcher without a running watch, or after the poll interval. */
 	tick(now: number): void {
-		if (!this.isFetching && now >= this.nextFetchAt && !(this.isWatcher && this.watch)) {
+		if (!this.isFetching && now >= this.nextFetchAt && !(this.isWatcher && this.watchAbort)) {
 			this.isFetching = true;
 			void this.fetch(now).finally(() => {
 				this.isFetching = false;
@@ -79,35 +80,35 @@
 		}
 	}
 
-	/** Learns of a version that a peer or target holds; gives the wish to send back when it is newer. */
+	/** Notes the version that a peer or target holds; returns the request for its pages to send to it if the version is newer. */
 	noteVersion(version: number, changeId: string, now: number): MessageOf<'table-wanted'> | undefined {
 		if (version === this.version && changeId !== '' && changeId !== this.changeId) {
-			this.report(`a peer holds another version ${version} (change ${changeId})`);
+			this.reportDivergence(`a peer holds another version ${version} (change ${changeId})`);
 		}
 
-		const isAsked = version <= this.askedVersion && now - this.askedAt < askAgainMs;
-		if (version <= this.version || isAsked) {
+		const isRequested = version <= this.requestedVersion && now - this.requestedAt < requestRetryMs;
+		if (version <= this.version || isRequested) {
 			return undefined;
 		}
 
-		this.askedAt = now;
-		this.askedVersion = version;
+		this.requestedAt = now;
+		this.requestedVersion = version;
 		return {type: 'table-wanted', tableVersion: this.version, pages: [...this.pages.keys()]};
 	}
 
-	/** Answers a peer's wish with the head and the pages that it lacks. */
-	offer(wish: MessageOf<'table-wanted'>): LinkMessage | undefined {
-		if (!this.table || wish.tableVersion >= this.version) {
+	/** Creates the answer to a peer's request: the head and the pages that the peer lacks. Undefined if this entry has no newer version. */
+	createOffer(request: MessageOf<'table-wanted'>): LinkMessage | undefined {
+		if (!this.table || request.tableVersion >= this.version) {
 			return undefined;
 		}
 
-		const held = new Set(wish.pages);
+		const held = new Set(request.pages);
 		const pages = [...this.pages.values()].filter(({hash}) => !held.has(hash));
 		return {type: 'table-offered', head: JSON.stringify(this.table.head), pages};
 	}
 
-	/** Takes what a peer offered. */
-	takeOffer(offered: MessageOf<'table-offered'>): void {
+	/** Installs the version that a peer sent, if it is newer and no page is missing. */
+	applyOffer(offered: MessageOf<'table-offered'>): void {
 		const head = TableHead.safeParse(JSON.parse(offered.head));
 		if (!head.success || head.data.version <= this.version) {
 			return;
@@ -120,13 +121,13 @@
 
 		const isWhole = head.data.pages.every(hash => pages.has(hash));
 		if (isWhole) {
-			this.install(new TableSnapshot(head.data, pick(pages, head.data.pages)));
+			this.install(new TableSnapshot(head.data, selectPages(pages, head.data.pages)));
 		}
 	}
 
-	/** Ends the watch. */
+	/** Ends the watch and stops reading the platform. */
 	close(): void {
-		this.watch?.abort();
+		this.watchAbort?.abort();
 		this.nextFetchAt = Number.POSITIVE_INFINITY;
 	}
 
@@ -141,60 +142,60 @@
 			return;
 		}
 
-		this.backoffMs = firstBackoffMs;
-		this.platformAt = now;
-		this.nextFetchAt = now + (fallbackMs * (0.5 + this.options.random()));
-		this.consider(stored.value.snapshot);
+		this.backoffMs = initialBackoffMs;
+		this.platformReadAt = now;
+		this.nextFetchAt = now + (pollIntervalMs * (0.5 + this.options.random()));
+		this.reconcile(stored.value.snapshot);
 		if (this.isWatcher) {
-			void this.follow(stored.value.revision, now);
+			void this.watchHead(stored.value.revision, now);
 		}
 	}
 
 	private backOff(now: number, message: string): void {
-		this.options.log(`platform not read: ${message}`);
+		this.options.log(`reading the platform failed: ${message}`);
 		this.nextFetchAt = now + (this.backoffMs * (0.5 + this.options.random()));
 		this.backoffMs = Math.min(this.backoffMs * 2, maximumBackoffMs);
 	}
 
-	private async follow(revision: number, now: number): Promise<void> {
-		const watch = new AbortController();
-		this.watch = watch;
-		const ended = await this.options.keyValue.watch(tableKeys.head, revision, change => {
-			void this.takeChange(change.value);
-		}, watch.signal);
-		if (this.watch === watch) {
-			this.watch = undefined;
-			this.nextFetchAt = Math.min(this.nextFetchAt, now + (firstBackoffMs * (0.5 + this.options.random())));
-			this.options.log(`watch ended: ${ended.isErr() ? ended.error.message : 'closed by the platform'}`);
+	private async watchHead(revision: number, now: number): Promise<void> {
+		const abortController = new AbortController();
+		this.watchAbort = abortController;
+		const result = await this.options.keyValue.watch(tableKeys.head, revision, change => {
+			void this.applyHeadChange(change.value);
+		}, abortController.signal);
+		if (this.watchAbort === abortController) {
+			this.watchAbort = undefined;
+			this.nextFetchAt = Math.min(this.nextFetchAt, now + (initialBackoffMs * (0.5 + this.options.random())));
+			this.options.log(`watch ended: ${result.isErr() ? result.error.message : 'closed by the platform'}`);
 		}
 	}
 
-	private async takeChange(headText: string): Promise<void> {
-		const snapshot = await readTable(this.options.keyValue, headText, this.pages);
+	private async applyHeadChange(headText: string): Promise<void> {
+		const snapshot = await fetchSnapshot(this.options.keyValue, headText, this.pages);
 		if (snapshot.isOk()) {
-			this.consider(snapshot.value);
+			this.reconcile(snapshot.value);
 			return;
 		}
 
-		// The pages could not be read now; the next fetch will, whether the watch lives or not.
-		this.options.log(`change not read: ${snapshot.error.message}`);
-		this.watch?.abort();
+		// The pages cannot be read now. Ending the watch makes the next fetch read them again.
+		this.options.log(`reading a changed table failed: ${snapshot.error.message}`);
+		this.watchAbort?.abort();
 	}
 
-	/* What the platform holds may be older than what is in force, if it was restored from a copy. */
-	private consider(snapshot: TableSnapshot | undefined): void {
+	/* The platform may hold an older version than the one in force if it was restored from a backup. */
+	private reconcile(snapshot: TableSnapshot | undefined): void {
 		const version = snapshot?.version ?? 0;
 		if (version < this.version) {
-			this.report(`the platform holds version ${version}, older than version ${this.version} in force`);
+			this.reportDivergence(`the platform holds version ${version}, older than version ${this.version} in force`);
 			return;
 		}
 
 		if (snapshot && version === this.version && snapshot.head.changeId !== this.changeId) {
-			this.report(`the platform holds another version ${version} (change ${snapshot.head.changeId})`);
+			this.reportDivergence(`the platform holds another version ${version} (change ${snapshot.head.changeId})`);
 			return;
 		}
 
-		this.trouble = undefined;
+		this.divergence = undefined;
 		if (snapshot && version > this.version) {
 			this.install(snapshot);
 		}
@@ -210,15 +211,15 @@
 		this.options.onInstall(snapshot);
 	}
 
-	private report(trouble: string): void {
-		if (this.trouble !== trouble) {
-			this.options.log(trouble);
+	private reportDivergence(message: string): void {
+		if (this.divergence !== message) {
+			this.options.log(message);
 		}
 
-		this.trouble = trouble;
+		this.divergence = message;
 	}
 }
 
-function pick(pages: ReadonlyMap<string, TablePage>, hashes: readonly string[]): Map<string, TablePage> {
+function selectPages(pages: ReadonlyMap<string, TablePage>, hashes: readonly string[]): Map<string, TablePage> {
 	return new Map(hashes.map(hash => [hash, pages.get(hash)!]));
 }
--- a/src/target/answer-buffer.ts
+++ b/src/target/answer-buffer.ts
@@ -2,59 +2,59 @@
 
 type NumberedPart = {readonly sequence: number; readonly part: AnswerPart; readonly bytes: number};
 
-/** Bytes that a part counts beside its chunk. */
+/** Bytes counted for each part in addition to its chunk. */
 const partOverheadBytes = 64;
 
 /**
- * The parts of one answer from the first that its reader has not acknowledged.
+ * The numbered parts of one answer, kept at least until they are acknowledged.
  *
- * While the whole answer fits it is kept from the start, so that a second caller with the same key can have it.
+ * A replayable answer is kept from its start while it fits, so that a second caller with the same key can read it.
  */
 export class AnswerBuffer {
 	private parts: NumberedPart[] = [];
-	private keptBytes = 0;
-	private unreadBytes = 0;
+	private bufferedBytes = 0;
+	private unacknowledgedBytes = 0;
 	private nextSequence = 0;
 	private acknowledged = 0;
 
 	/**
-	 * @param maximumBytes - kept bytes above which acknowledged parts are dropped and the engine is made to wait
-	 * @param keepsWhole - whether acknowledged parts stay while there is room
+	 * @param maximumBytes - buffered bytes above which acknowledged parts are dropped, and unacknowledged bytes from which the engine has to wait
+	 * @param isReplayable - whether acknowledged parts are kept while there is room
 	 */
-	constructor(private readonly maximumBytes: number, private readonly keepsWhole: boolean) {}
+	constructor(private readonly maximumBytes: number, private readonly isReplayable: boolean) {}
 
-	/** Whether the answer has ended, wholly or broken. */
+	/** Whether the answer has ended, complete or broken off. */
 	get isEnded(): boolean {
 		const last = this.parts.at(-1)?.part.type;
 		return last === 'end' || last === 'broken';
 	}
 
-	/** Whether more parts may be added now; false asks the engine to wait for the reader. */
+	/** Whether more parts may be added now; while false, reading from the engine pauses. */
 	get hasRoom(): boolean {
-		return this.unreadBytes < this.maximumBytes;
+		return this.unacknowledgedBytes < this.maximumBytes;
 	}
 
-	/** Whether the reader has acknowledged every part so far. */
-	get isRead(): boolean {
+	/** Whether every part so far has been acknowledged. */
+	get isAcknowledged(): boolean {
 		return this.acknowledged === this.nextSequence;
 	}
 
-	/** Adds a part and gives its sequence number. */
+	/** Adds a part and returns its sequence number. */
 	add(part: AnswerPart): number {
 		const bytes = partOverheadBytes + (part.type === 'data' ? part.chunk.length : 0);
 		const sequence = this.nextSequence++;
 		this.parts.push({sequence, part, bytes});
-		this.keptBytes += bytes;
-		this.unreadBytes += bytes;
+		this.bufferedBytes += bytes;
+		this.unacknowledgedBytes += bytes;
 		this.trim();
 		return sequence;
 	}
 
-	/** Notes that the reader has every part before `sequence`. */
+	/** Notes that a reader has received every part before `sequence`. */
 	acknowledge(sequence: number): void {
 		for (const part of this.parts) {
 			if (part.sequence >= this.acknowledged && part.sequence < sequence) {
-				this.unreadBytes -= part.bytes;
+				this.unacknowledgedBytes -= part.bytes;
 			}
 		}
 
@@ -62,17 +62,17 @@
 		this.trim();
 	}
 
-	/** The parts from `sequence` on; undefined when some of them are no longer kept. */
+	/** Returns the parts from `sequence` on; undefined when some of them are no longer kept. */
 	read(sequence: number): NumberedPart[] | undefined {
 		const first = this.parts.at(0)?.sequence ?? this.nextSequence;
 		return sequence < first ? undefined : this.parts.slice(sequence - first);
 	}
 
 	private trim(): void {
-		const mustDrop = () => !this.keepsWhole || this.keptBytes > this.maximumBytes;
+		const mustDrop = () => !this.isReplayable || this.bufferedBytes > this.maximumBytes;
 		let count = 0;
 		while (count < this.parts.length - 1 && this.parts[count].sequence < this.acknowledged && mustDrop()) {
-			this.keptBytes -= this.parts[count].bytes;
+			this.bufferedBytes -= this.parts[count].bytes;
 			count++;
 		}
 
--- a/src/target/request-controller.ts
+++ b/src/target/request-controller.ts
@@ -13,34 +13,35 @@
 	readonly incarnation: string;
 	readonly queue: AdmissionQueue;
 	readonly records: RecordTable;
+	/** Bytes of an answer that are buffered at most. */
 	readonly replayBytes: number;
-	/** How long a request that nobody reads goes on, milliseconds. */
+	/** How long a request without a reader keeps running, and an unread answer is kept, milliseconds. */
 	readonly resumeMs: number;
 	readonly clock: () => number;
 	readonly isLeaving: () => boolean;
-	/** Calls the engine and pushes the answer; rejects when it breaks off. */
-	readonly call: (execution: Execution) => Promise<void>;
+	/** Sends the request to the engine and adds its answer to the execution; rejects when the answer breaks off. */
+	readonly runOnEngine: (execution: Execution) => Promise<void>;
 	readonly onIdle: () => void;
 };
 
-/** The serial point before an engine: decides for every request whether it starts, waits, joins another or is refused. */
+/** Handles all requests to one engine, one message at a time: decides whether each starts, waits, joins another or is refused. */
 export class RequestController {
 	private readonly waiting = new Map<string, {execution: Execution; send: Send}>();
-	/** Requests that run, or whose answer has not been read to its end. */
-	private readonly live = new Set<Execution>();
+	/** Requests that are running, or whose answer has not been acknowledged to its end. */
+	private readonly active = new Set<Execution>();
 
 	constructor(private readonly options: ControllerOptions) {}
 
-	/** Whether no request waits or runs and no answer is still to be read. */
+	/** Whether no request is waiting or running and every answer is acknowledged or given up. */
 	get isIdle(): boolean {
-		return this.waiting.size === 0 && this.live.size === 0;
+		return this.waiting.size === 0 && this.active.size === 0;
 	}
 
-	/** Handles a message of an entry; `send` answers on the same link. */
+	/** Handles a message from an entry; `send` replies on the same link. */
 	receive(message: LinkMessage, send: Send, now: number): void {
 		switch (message.type) {
 			case 'request': {
-				this.takeRequest(message, send, now);
+				this.handleRequest(message, send, now);
 				break;
 			}
 
@@ -68,31 +69,31 @@
 		}
 	}
 
-	/** Notes that a link was lost; its answers are kept for a while. */
-	loseLink(send: Send, now: number): void {
-		for (const execution of [...this.live, ...[...this.waiting.values()].map(waiting => waiting.execution)]) {
+	/** Removes the readers of a lost link; their answers are kept for `resumeMs`, so that the entry can resume. */
+	handleLostLink(send: Send, now: number): void {
+		for (const execution of [...this.active, ...[...this.waiting.values()].map(waiting => waiting.execution)]) {
 			execution.removeReaders(reader => reader.send === send, now);
 		}
 	}
 
-	/** Refuses what waited past its deadline and ends what nobody reads any more. */
+	/** Refuses requests that have waited past their deadline, and ends those without a reader. To be called at short intervals. */
 	tick(now: number): void {
-		for (const {id} of this.options.queue.dropLate(now)) {
+		for (const {id} of this.options.queue.removeExpired(now)) {
 			this.refuseWaiting(id, 'late', now);
 		}
 
-		for (const execution of this.live) {
-			this.endUnread(execution, now);
+		for (const execution of this.active) {
+			this.expireUnread(execution, now);
 		}
 
 		this.startWaiting(now);
 		this.notifyIdle();
 	}
 
-	private endUnread(execution: Execution, now: number): void {
+	private expireUnread(execution: Execution, now: number): void {
 		if (execution.state === 'done') {
 			if (now - execution.endedAt > this.options.resumeMs) {
-				this.live.delete(execution);
+				this.active.delete(execution);
 			}
 
 			return;
@@ -108,12 +109,12 @@
 		const execution = this.options.records.get(id, attempt);
 		execution?.acknowledge(sequence);
 		if (execution?.state === 'done' && execution.isDelivered) {
-			this.live.delete(execution);
+			this.active.delete(execution);
 			this.notifyIdle();
 		}
 	}
 
-	private takeRequest(request: MessageOf<'request'>, send: Send, now: number): void {
+	private handleRequest(request: MessageOf<'request'>, send: Send, now: number): void {
 		const {records} = this.options;
 		if (records.get(request.id, request.attempt)) {
 			return;
@@ -127,7 +128,7 @@
 		}
 
 		const execution = new Execution({request, replayBytes: this.options.replayBytes, arrivedAt: now});
-		const verdict = this.options.queue.offer({
+		const decision = this.options.queue.offer({
 			id: `${request.id}/${request.attempt}`,
 			organisation: request.organisation,
 			weight: request.weight,
@@ -136,25 +137,25 @@
 			deadline: now + request.timeoutMs,
 			mayWait: request.mayWait,
 		}, now);
-		if (verdict.kind === 'refuse') {
-			this.refuse(request, send, verdict.reason, now, verdict.retryAfterMs);
+		if (decision.kind === 'refuse') {
+			this.refuse(request, send, decision.reason, now, decision.retryAfterMs);
 			return;
 		}
 
 		records.add(execution);
 		execution.addReader({id: request.id, attempt: request.attempt, send}, 0);
-		if (verdict.kind === 'start') {
+		if (decision.kind === 'start') {
 			this.start(execution, send, now);
 		} else {
 			this.waiting.set(`${request.id}/${request.attempt}`, {execution, send});
 		}
 	}
 
-	/* Refusing a request that may run only once is final: a late copy of it is refused too. */
+	/* The refusal of a request that may run only once is recorded, so that a late copy of it is refused too. */
 	private refuse(request: MessageOf<'request'>, send: Send, reason: Reason, now: number, retryAfterMs = 0): void {
 		const {once, id, attempt} = request;
 		const known = once && this.options.records.getByKey(once.key);
-		const isFinal = reason === 'cancelled' || reason === 'duplicate' || !once || this.options.records.bury(once.owner, now);
+		const isFinal = reason === 'cancelled' || reason === 'duplicate' || !once || this.options.records.addTombstone(once.owner, now);
 		if (!isFinal) {
 			send({
 				type: 'broken', id, attempt, sequence: 0, reason: 'no room to remember a refusal',
@@ -163,14 +164,14 @@
 		}
 
 		send({
-			type: 'refused', id, attempt, reason, retryAfterMs, record: known ? describe(known) : 'absent',
+			type: 'refused', id, attempt, reason, retryAfterMs, record: known ? getRecordState(known) : 'absent',
 		});
 	}
 
 	private cancel({id, attempt}: MessageOf<'cancel'>, send: Send, now: number): void {
 		const execution = this.options.records.get(id, attempt);
 		if (!execution) {
-			const started = !this.options.records.bury(`${id}/${attempt}`, now);
+			const started = !this.options.records.addTombstone(`${id}/${attempt}`, now);
 			send({
 				type: 'cancelled', id, attempt, started,
 			});
@@ -179,7 +180,7 @@
 
 		const isWaiting = this.options.queue.remove(`${id}/${attempt}`);
 		if (isWaiting) {
-			this.forgetWaiting(execution, now);
+			this.removeWaiting(execution, now);
 		} else {
 			execution.abort.abort();
 		}
@@ -189,7 +190,7 @@
 		});
 	}
 
-	/* An entry that resumes a request we never saw has lost it on the way: it is buried, so that it did not run is a fact. */
+	/* A resume for an unknown request means that the request was lost with its link. A tombstone makes sure that it will not run if it still arrives. */
 	private resume({id, attempt, sequence}: MessageOf<'resume'>, send: Send, now: number): void {
 		const execution = this.options.records.get(id, attempt);
 		if (execution?.addReader({id, attempt, send}, sequence)) {
@@ -201,8 +202,8 @@
 			return;
 		}
 
-		const isProved = !execution && this.options.records.bury(`${id}/${attempt}`, now);
-		send(isProved
+		const isRecorded = !execution && this.options.records.addTombstone(`${id}/${attempt}`, now);
+		send(isRecorded
 			? {
 				type: 'refused', id, attempt, reason: 'unknown-call', retryAfterMs: 0,
 			}
@@ -211,7 +212,7 @@
 			});
 	}
 
-	/* A second copy of a keyed request joins the first, or learns that the first never came and never will. */
+	/* A second copy of a keyed request reads the answer of the first. If the first never arrived, a tombstone makes sure that it will not start. */
 	private attach({id, attempt, key, owner}: MessageOf<'attach'>, send: Send, now: number): void {
 		const execution = this.options.records.getByKey(key);
 		if (execution?.addReader({id, attempt, send}, 0)) {
@@ -220,13 +221,13 @@
 
 		if (execution) {
 			send({
-				type: 'refused', id, attempt, reason: 'duplicate', retryAfterMs: 0, record: describe(execution),
+				type: 'refused', id, attempt, reason: 'duplicate', retryAfterMs: 0, record: getRecordState(execution),
 			});
 			return;
 		}
 
-		const isProved = this.options.records.bury(owner, now);
-		send(isProved
+		const isRecorded = this.options.records.addTombstone(owner, now);
+		send(isRecorded
 			? {
 				type: 'refused', id, attempt, reason: 'unknown-call', retryAfterMs: 0, record: 'absent',
 			}
@@ -238,21 +239,21 @@
 	private start(execution: Execution, send: Send, now: number): void {
 		execution.state = 'running';
 		execution.startedAt = now;
-		this.live.add(execution);
+		this.active.add(execution);
 		void this.run(execution, send);
 	}
 
 	private async run(execution: Execution, send: Send): Promise<void> {
 		const {request} = execution;
 		try {
-			await this.options.call(execution);
+			await this.options.runOnEngine(execution);
 			this.finish(execution);
 		} catch (error) {
 			const now = this.options.clock();
 			this.finish(execution);
 			if (error instanceof EngineRefusal) {
-				this.live.delete(execution);
-				this.options.records.drop(execution);
+				this.active.delete(execution);
+				this.options.records.remove(execution);
 				this.refuse(request, send, 'unavailable', now);
 			} else {
 				execution.addPart({type: 'broken', reason: (error as Error).message});
@@ -269,7 +270,7 @@
 		execution.state = 'done';
 		execution.endedAt = now;
 		this.options.queue.finish(`${id}/${attempt}`, now - execution.startedAt);
-		this.options.records.end(execution, now);
+		this.options.records.noteEnd(execution, now);
 	}
 
 	private startWaiting(now: number): void {
@@ -287,15 +288,15 @@
 
 	private refuseWaiting(name: string, reason: Reason, now: number): void {
 		const {execution, send} = this.waiting.get(name)!;
-		this.forgetWaiting(execution, now);
+		this.removeWaiting(execution, now);
 		this.refuse(execution.request, send, reason, now);
 	}
 
-	private forgetWaiting(execution: Execution, now: number): void {
+	private removeWaiting(execution: Execution, now: number): void {
 		const {id, attempt, once} = execution.request;
 		this.waiting.delete(`${id}/${attempt}`);
-		this.options.records.drop(execution);
-		this.options.records.bury(once?.owner ?? `${id}/${attempt}`, now);
+		this.options.records.remove(execution);
+		this.options.records.addTombstone(once?.owner ?? `${id}/${attempt}`, now);
 		this.notifyIdle();
 	}
 
@@ -306,6 +307,6 @@
 	}
 }
 
-function describe(execution: Execution): 'running' | 'done' {
+function getRecordState(execution: Execution): 'running' | 'done' {
 	return execution.state === 'done' ? 'done' : 'running';
 }
