--- a/bench/capacity.ts
+++ b/bench/capacity.ts
@@ -28,9 +28,9 @@
 import {report} from './support/report.js';
 
 const linkKey = 'c3'.repeat(32);
-const runs = 3;
+const runCount = 3;
 /** Time after the start in which V8 still compiles and collects, milliseconds. */
-const settleMs = 12_000;
+const warmUpMs = 12_000;
 const resultFile = 'docs/capacity-figures.json';
 
 type Sample = Readonly<Record<string, number>>;
@@ -279,7 +279,7 @@
 		await fleet.waitFor(`http://127.0.0.1:${adminPort}/readyz`);
 	}
 
-	await delay(settleMs);
+	await delay(warmUpMs);
 	const before = await Promise.all(admins.map(async port => fleet.readUsage(port)));
 	await delay(seconds * 1000);
 	const after = await Promise.all(admins.map(async port => fleet.readUsage(port)));
@@ -309,7 +309,7 @@
 	};
 };
 
-const measureSlopes = async (seconds: number): Promise<Sample> => {
+const measureGrowth = async (seconds: number): Promise<Sample> => {
 	const base = await measureFleet(2, 2, seconds);
 	const moreEntries = await measureFleet(8, 2, seconds);
 	const moreTargets = await measureFleet(2, 20, seconds);
@@ -333,12 +333,12 @@
 };
 
 /** Measures the slopes that docs/CAPACITY.md works with, three times, and writes them to a committed file. */
-export async function benchCapacity(words: readonly string[]): Promise<void> {
-	const seconds = words.includes('--seconds') ? Number(words[words.indexOf('--seconds') + 1]) : 20;
+export async function benchCapacity(args: readonly string[]): Promise<void> {
+	const seconds = args.includes('--seconds') ? Number(args[args.indexOf('--seconds') + 1]) : 20;
 	const samples: Sample[] = [];
-	for (let run = 0; run < runs; run++) {
+	for (let run = 0; run < runCount; run++) {
 		samples.push({
-			...measureTable(), ...measureMembership(), ...measureRecords(), ...measurePlanner(), ...await measureLinks(), ...await measureSlopes(seconds),
+			...measureTable(), ...measureMembership(), ...measureRecords(), ...measurePlanner(), ...await measureLinks(), ...await measureGrowth(seconds),
 		});
 	}
 
--- a/bench/forward.ts
+++ b/bench/forward.ts
@@ -17,21 +17,21 @@
 		name: 'stream of 6 events', path: '/stream/1', requests: 6000, concurrency: 4,
 	},
 ];
-const warmUp = 1500;
+const warmUpRequests = 1500;
 
-const start = async (...words: string[]): Promise<[ChildProcess, unknown]> => {
+const startChild = async (...words: string[]): Promise<[ChildProcess, unknown]> => {
 	const child = fork(new URL('support/forward-child.js', import.meta.url), words, {stdio: ['ignore', 'ignore', 'inherit', 'ipc']});
 	const [message] = await once(child, 'message') as [unknown];
 	return [child, message];
 };
 
-const askUsage = async (child: ChildProcess): Promise<Usage> => {
+const getUsage = async (child: ChildProcess): Promise<Usage> => {
 	child.send('usage');
 	const [usage] = await once(child, 'message') as [Usage];
 	return usage;
 };
 
-const load = async (port: number, {path, concurrency}: Case, requests: number) => {
+const runLoad = async (port: number, {path, concurrency}: Case, requests: number) => {
 	const agent = new Agent({connections: concurrency});
 	const histogram = build();
 	let sent = 0;
@@ -39,7 +39,7 @@
 	const work = async (): Promise<void> => {
 		while (sent < requests) {
 			sent++;
-			const begun = performance.now();
+			const startedAt = performance.now();
 			const answer = await request(`http://127.0.0.1:${port}${path}`, {
 				dispatcher: agent, headers: {
 					host: 'desk.example', 'x-request': `r-${sent}`, 'x-target': 'target-1', 'x-deadline': '10000',
@@ -47,7 +47,7 @@
 			});
 			await answer.body.text();
 			failed += answer.statusCode === 200 ? 0 : 1;
-			histogram.recordValue(Math.round((performance.now() - begun) * 1000));
+			histogram.recordValue(Math.round((performance.now() - startedAt) * 1000));
 		}
 	};
 
@@ -58,18 +58,18 @@
 
 /** Measures what forwarding adds to a request and costs the entry, against the stand-in target called directly. */
 export async function benchForward(): Promise<void> {
-	const [target, registration] = await start('target');
-	const [entry, port] = await start('entry', JSON.stringify(registration));
-	const before = await askUsage(entry);
+	const [target, registration] = await startChild('target');
+	const [entry, port] = await startChild('entry', JSON.stringify(registration));
+	const before = await getUsage(entry);
 	const figures: Array<Record<string, string | number>> = [];
 	for (const one of cases) {
 		const directPort = (registration as Target).port;
-		await load(directPort, one, warmUp);
-		await load(port as number, one, warmUp);
-		const direct = await load(directPort, one, one.requests);
-		const from = await askUsage(entry);
-		const forwarded = await load(port as number, one, one.requests);
-		const to = await askUsage(entry);
+		await runLoad(directPort, one, warmUpRequests);
+		await runLoad(port as number, one, warmUpRequests);
+		const direct = await runLoad(directPort, one, one.requests);
+		const from = await getUsage(entry);
+		const forwarded = await runLoad(port as number, one, one.requests);
+		const to = await getUsage(entry);
 		const cpuMs = (to.cpu.user + to.cpu.system - from.cpu.user - from.cpu.system) / 1000 / one.requests;
 		figures.push({
 			case: one.name,
@@ -83,7 +83,7 @@
 		});
 	}
 
-	const after = await askUsage(entry);
+	const after = await getUsage(entry);
 	report('forward', figures);
 	report('forward memory', [{case: 'entry', startedMb: Math.round(before.rss / 1e6), loadedMb: Math.round(after.rss / 1e6)}]);
 	entry.kill();
--- a/bench/main.ts
+++ b/bench/main.ts
@@ -1,8 +1,8 @@
 import process from 'node:process';
 
-type Bench = (words: readonly string[]) => Promise<void>;
+type Benchmark = (words: readonly string[]) => Promise<void>;
 
-const benches: Readonly<Record<string, () => Promise<Bench>>> = {
+const benchmarks: Readonly<Record<string, () => Promise<Benchmark>>> = {
 	async path() {
 		const {benchPath} = await import('./path.js');
 		return benchPath;
@@ -38,11 +38,11 @@
 };
 
 const [name, ...words] = process.argv.slice(2);
-const load = benches[name];
+const load = benchmarks[name];
 if (load) {
 	const bench = await load();
 	await bench(words);
 } else {
-	process.stderr.write(`usage: npm run bench -- ${Object.keys(benches).join('|')}\n`);
+	process.stderr.write(`usage: npm run bench -- ${Object.keys(benchmarks).join('|')}\n`);
 	process.exitCode = 2;
 }
--- a/bench/maps.ts
+++ b/bench/maps.ts
@@ -7,9 +7,9 @@
 import {TraceKind} from '../src/maps/trace-kind.js';
 import {report} from './support/report.js';
 
-type Contender = {readonly label: string; readonly policy: 'static' | 'repack' | 'incremental'; readonly weights: MapWeights};
+type PolicyCase = {readonly label: string; readonly policy: 'static' | 'repack' | 'incremental'; readonly weights: MapWeights};
 
-const contenders: readonly Contender[] = [
+const policyCases: readonly PolicyCase[] = [
 	{label: 'static', policy: 'static', weights: {skew: 1, move: 1}},
 	{label: 'repack', policy: 'repack', weights: {skew: 1, move: 1}},
 	{label: 'incremental, skew 10:1', policy: 'incremental', weights: {skew: 10, move: 1}},
@@ -21,11 +21,11 @@
 const experts = 64;
 
 /** Compares the policies on all kinds of traces at both shapes. Words: kinds to run, `--intervals N`, `--seed N`. */
-export async function benchMaps(words: readonly string[]): Promise<void> {
-	const readOption = (name: string, fallback: number): number => words.includes(name) ? Number(words[words.indexOf(name) + 1]) : fallback;
+export async function benchMaps(args: readonly string[]): Promise<void> {
+	const readOption = (name: string, fallback: number): number => args.includes(name) ? Number(args[args.indexOf(name) + 1]) : fallback;
 	const intervals = readOption('--intervals', 100);
 	const seed = readOption('--seed', 1);
-	const chosen = TraceKind.options.filter(kind => words.includes(kind));
+	const chosen = TraceKind.options.filter(kind => args.includes(kind));
 	const cases = [];
 	for (const {ranks, slots} of shapes) {
 		const shape = {
@@ -35,7 +35,7 @@
 			const trace = generateTrace({
 				kind, seed, intervals, layers, experts, zipf: 0.8,
 			});
-			for (const {label, policy, weights} of contenders) {
+			for (const {label, policy, weights} of policyCases) {
 				const replay = replayTrace({
 					trace, shape, policy: makePolicy(policy, shape, weights), clock: () => performance.now(),
 				});
--- a/bench/path.ts
+++ b/bench/path.ts
@@ -11,16 +11,16 @@
 import {ProcessFleet} from './support/process-fleet.js';
 import {report} from './support/report.js';
 
-type Plan = {readonly url: string; readonly requests: number; readonly concurrency: number; readonly stream: boolean; readonly tokens: number};
-type Path = {readonly fleet: ProcessFleet; readonly engineUrl: string; readonly pacedUrl: string; readonly entryUrl: string; readonly adminPorts: Readonly<Record<'entry' | 'target', number>>};
+type LoadOptions = {readonly url: string; readonly requests: number; readonly concurrency: number; readonly stream: boolean; readonly tokens: number};
+type RunningPath = {readonly fleet: ProcessFleet; readonly engineUrl: string; readonly pacedUrl: string; readonly entryUrl: string; readonly adminPorts: Readonly<Record<'entry' | 'target', number>>};
 
 const token = 'bench-token';
 const linkKey = 'b2'.repeat(32);
 /** Time for memory to settle after streams were opened, milliseconds. */
 const settleMs = 10_000;
-const warmUp = 3000;
+const warmUpRequests = 3000;
 
-const openPath = async (root: string): Promise<Path> => {
+const startPath = async (root: string): Promise<RunningPath> => {
 	const [keyValuePort, listPort, enginePort, pacedPort, httpPort, ...ports] = await findFreePorts(11);
 	const fleet = new ProcessFleet(root);
 	const [entryLink, entryAdmin, targetLink, targetAdmin, pacedLink, pacedAdmin] = ports;
@@ -72,7 +72,7 @@
 	};
 };
 
-const sendOne = async (plan: Plan, dispatcher: Agent, model: string): Promise<void> => {
+const sendOne = async (plan: LoadOptions, dispatcher: Agent, model: string): Promise<void> => {
 	const answer = await request(`${plan.url}/v1/chat/completions`, {
 		method: 'POST',
 		dispatcher,
@@ -87,10 +87,10 @@
 	}
 };
 
-const runLoad = async (plan: Plan): Promise<Record<string, number>> => {
+const runLoad = async (plan: LoadOptions): Promise<Record<string, number>> => {
 	const dispatcher = new Agent({connections: plan.concurrency});
 	const histogram = build({highestTrackableValue: 60_000_000, numberOfSignificantValueDigits: 3});
-	let left = plan.requests + warmUp;
+	let left = plan.requests + warmUpRequests;
 	let startedAt = 0;
 	const work = async (): Promise<void> => {
 		while (left > 0) {
@@ -111,7 +111,7 @@
 	return {p50Ms: histogram.getValueAtPercentile(50) / 1000, p99Ms: histogram.getValueAtPercentile(99) / 1000, requestsPerSecond: plan.requests / seconds};
 };
 
-const measureStreams = async (path: Path, counts: readonly number[]): Promise<Array<Record<string, number | string>>> => {
+const measureStreams = async (path: RunningPath, counts: readonly number[]): Promise<Array<Record<string, number | string>>> => {
 	const cases = [];
 	const dispatcher = new Agent({connections: 2000});
 	const aborts: AbortController[] = [];
@@ -153,17 +153,17 @@
 };
 
 /** Measures what entry and target add to calling the engine directly; `--baseline DIR` measures an earlier build beside it. */
-export async function benchPath(words: readonly string[]): Promise<void> {
-	const baselineIndex = words.indexOf('--baseline');
+export async function benchPath(args: readonly string[]): Promise<void> {
+	const baselineIndex = args.indexOf('--baseline');
 	const roots = [{name: 'now', root: process.cwd()}];
 	if (baselineIndex !== -1) {
-		roots.push({name: 'baseline', root: words[baselineIndex + 1]});
+		roots.push({name: 'baseline', root: args[baselineIndex + 1]});
 	}
 
 	const cases = [];
 	for (const {name, root} of roots) {
-		const path = await openPath(root);
-		for (const stream of words.includes('--streams-only') ? [] : [false, true]) {
+		const path = await startPath(root);
+		for (const stream of args.includes('--streams-only') ? [] : [false, true]) {
 			for (const [concurrency, requests] of [[1, 2000], [64, 6000]]) {
 				const shared = {
 					requests, concurrency, stream, tokens: stream ? 32 : 1,
--- a/bench/routing.ts
+++ b/bench/routing.ts
@@ -36,15 +36,15 @@
 
 const concurrency = 16;
 const meanServiceMs = 2000;
-const remoteMs = 3;
-const cachedPrefixes = 40;
-const knownPrefixes = 3000;
+const crossZoneLatencyMs = 3;
+const prefixCacheSize = 40;
+const prefixCount = 3000;
 /** What a cached prefix saves of the service time. */
 const prefixSaving = 0.25;
 const stragglerSlowness = 2.5;
 const utilisation = 0.85;
 /** Targets asked before a request waits, as in the dispatcher. */
-const probes = 4;
+const maximumProbes = 4;
 
 const makeRandom = (seed: number): (() => number) => {
 	const generator = xoroshiro128plus(seed);
@@ -55,7 +55,7 @@
 	id: `target-${index}`, role: 'target', availabilityZone: `zone-${index % zones}`, region: 'default', address: '', linkPort: 0, state: 'live',
 }));
 
-const getWait = (machine: Machine, now: number): number => {
+const getWaitMs = (machine: Machine, now: number): number => {
 	let free = Number.POSITIVE_INFINITY;
 	for (const at of machine.freeAt) {
 		free = Math.min(free, at);
@@ -65,14 +65,14 @@
 };
 
 /* A busy target refuses at once; after a few refusals the request waits at the one with the shortest wait. */
-const askAround = (entry: Entry, prefixHash: number, random: () => number, now: number): View => {
+const chooseWithProbes = (entry: Entry, prefixHash: number, random: () => number, now: number): View => {
 	const asked: View[] = [];
-	while (asked.length < Math.min(probes, entry.views.length)) {
+	while (asked.length < Math.min(maximumProbes, entry.views.length)) {
 		const rest = entry.views.filter(view => !asked.includes(view));
 		const view = chooseTarget(rest, {prefixHash: asked.length === 0 ? prefixHash : undefined, random}) as View;
 		entry.refusals = asked.length;
 		asked.push(view);
-		if (getWait(view.machine, now) === 0) {
+		if (getWaitMs(view.machine, now) === 0) {
 			return view;
 		}
 	}
@@ -80,7 +80,7 @@
 	entry.refusals = asked.length;
 	let best = asked[0];
 	for (const view of asked) {
-		if (getWait(view.machine, now) < getWait(best.machine, now)) {
+		if (getWaitMs(view.machine, now) < getWaitMs(best.machine, now)) {
 			best = view;
 		}
 	}
@@ -106,15 +106,15 @@
 		return one.running + one.waiting <= other.running + other.waiting ? one : other;
 	},
 	'one target, no asking': (entry, prefixHash, random) => chooseTarget(entry.views, {prefixHash, random}) as View,
-	ours: (entry, prefixHash, random, now) => askAround(entry, prefixHash, random, now),
+	ours: (entry, prefixHash, random, now) => chooseWithProbes(entry, prefixHash, random, now),
 };
 
 /* The ideal knows every target as it is now and takes the one that is free first. */
-const chooseIdeal = (machines: readonly Machine[], now: number): Machine => {
+const chooseWithFullKnowledge = (machines: readonly Machine[], now: number): Machine => {
 	let best = machines[0];
 	let earliest = Number.POSITIVE_INFINITY;
 	for (const machine of machines) {
-		const wait = getWait(machine, now) + (machine.slowness > 1 ? meanServiceMs : 0);
+		const wait = getWaitMs(machine, now) + (machine.slowness > 1 ? meanServiceMs : 0);
 		if (wait < earliest) {
 			earliest = wait;
 			best = machine;
@@ -138,7 +138,7 @@
 
 	const isHit = machine.prefixes.delete(prefix);
 	machine.prefixes.set(prefix, true);
-	if (machine.prefixes.size > cachedPrefixes) {
+	if (machine.prefixes.size > prefixCacheSize) {
 		const [oldest] = machine.prefixes.keys();
 		machine.prefixes.delete(oldest);
 	}
@@ -154,14 +154,14 @@
 	return {waitMs: start - now, isHit};
 };
 
-const observe = (machine: Machine, now: number): {running: number; waiting: number} => {
+const readLoad = (machine: Machine, now: number): {running: number; waiting: number} => {
 	machine.jobs = machine.jobs.filter(({end}) => end > now);
 	const running = machine.jobs.filter(({start}) => start <= now).length;
 	return {running, waiting: machine.jobs.length - running};
 };
 
-const refresh = (entries: readonly Entry[], machines: readonly Machine[], now: number): void => {
-	const states = new Map(machines.map(machine => [machine.id, observe(machine, now)]));
+const updateReportedLoads = (entries: readonly Entry[], machines: readonly Machine[], now: number): void => {
+	const states = new Map(machines.map(machine => [machine.id, readLoad(machine, now)]));
 	for (const entry of entries) {
 		for (const view of entry.views) {
 			Object.assign(view, states.get(view.id), {sentSinceReport: 0});
@@ -210,21 +210,21 @@
 		now -= Math.log(1 - random()) / (ratePerMs * (isBurst ? 1.2 : 0.978));
 		if (lagMs > 0 && now >= nextReport) {
 			nextReport = now + lagMs;
-			refresh(entries, machines, now);
+			updateReportedLoads(entries, machines, now);
 		}
 
-		const prefix = Math.floor(knownPrefixes * (random() ** 3));
+		const prefix = Math.floor(prefixCount * (random() ** 3));
 		const entry = entries[Math.floor(random() * entries.length)];
 		if (lagMs === 0) {
 			for (const view of entry.views) {
-				Object.assign(view, observe(view.machine, now), {sentSinceReport: 0});
+				Object.assign(view, readLoad(view.machine, now), {sentSinceReport: 0});
 			}
 		}
 
 		const before = performance.now();
 		const view = name === 'ideal' ? undefined : policies[name](entry, hashText(String(prefix)), random, now);
 		decidingMs += performance.now() - before;
-		const machine = view?.machine ?? chooseIdeal(machines, now);
+		const machine = view?.machine ?? chooseWithFullKnowledge(machines, now);
 		if (view) {
 			view.sentSinceReport++;
 		}
@@ -232,7 +232,7 @@
 		const {waitMs, isHit} = serve(machine, prefix, now, random);
 		hits += isHit ? 1 : 0;
 		if (now > endMs / 4) {
-			waits.push(waitMs + (view && !view.isLocal ? remoteMs : 0) + (entry.refusals * remoteMs));
+			waits.push(waitMs + (view && !view.isLocal ? crossZoneLatencyMs : 0) + (entry.refusals * crossZoneLatencyMs));
 		}
 	}
 
@@ -253,7 +253,7 @@
 };
 
 /** Compares routing policies in a seeded replay of the decision functions. */
-export async function benchRouting(words: readonly string[]): Promise<void> {
+export async function benchRouting(args: readonly string[]): Promise<void> {
 	const sizes: Size[] = [
 		{
 			targets: 16, entries: 8, zones: 3, subset: 20, seconds: 240,
@@ -264,7 +264,7 @@
 	];
 	const cases = [];
 	for (const size of sizes) {
-		for (const lagMs of words.includes('--quick') ? [1000] : [0, 500, 1000, 2000, 8000]) {
+		for (const lagMs of args.includes('--quick') ? [1000] : [0, 500, 1000, 2000, 8000]) {
 			if (lagMs === 0 && size.targets > 100) {
 				continue;
 			}
--- a/bench/support/forward-child.ts
+++ b/bench/support/forward-child.ts
@@ -40,7 +40,7 @@
 		store: {address: 'in-memory'},
 		link: {key: '00'.repeat(32)},
 	}), {
-		feed: store.open('entry-1'), registry: store.open('entry-1'), source: plainSource, dialect: plainDialect, clock: readMonotonicClock, random: Math.random,
+		feed: store.createClient('entry-1'), registry: store.createClient('entry-1'), source: plainSource, dialect: plainDialect, clock: readMonotonicClock, random: Math.random,
 	});
 	return entry.httpPort;
 };
--- a/bench/support/process-fleet.ts
+++ b/bench/support/process-fleet.ts
@@ -9,8 +9,8 @@
 import {type KeyValue} from '../../src/key-value/key-value.js';
 import {type ProcessUsage} from './process-usage.js';
 
-const patienceMs = 15_000;
-const pollMs = 25;
+const startTimeoutMs = 15_000;
+const pollIntervalMs = 25;
 
 /** Separate processes of the system and its stand-ins, started for a measurement and ended with it. */
 export class ProcessFleet {
@@ -41,7 +41,7 @@
 
 	/** Waits until a URL answers 200. */
 	async waitFor(url: string): Promise<void> {
-		for (let waitedMs = 0; waitedMs < patienceMs; waitedMs += pollMs) {
+		for (let waitedMs = 0; waitedMs < startTimeoutMs; waitedMs += pollIntervalMs) {
 			try {
 				const answer = await request(url);
 				await answer.body.dump();
@@ -50,7 +50,7 @@
 				}
 			} catch {}
 
-			await delay(pollMs);
+			await delay(pollIntervalMs);
 		}
 
 		throw new Error(`${url} did not answer in time`);
@@ -58,13 +58,13 @@
 
 	/** Waits until the key-value stand-in answers. */
 	async waitForKeyValue(keyValue: KeyValue): Promise<void> {
-		for (let waitedMs = 0; waitedMs < patienceMs; waitedMs += pollMs) {
+		for (let waitedMs = 0; waitedMs < startTimeoutMs; waitedMs += pollIntervalMs) {
 			const answer = await keyValue.get('wardswitch/table/head');
 			if (answer.isOk()) {
 				return;
 			}
 
-			await delay(pollMs);
+			await delay(pollIntervalMs);
 		}
 
 		throw new Error('the key-value stand-in did not answer in time');
@@ -94,7 +94,7 @@
 			child.kill('SIGKILL');
 		}
 
-		await delay(pollMs);
+		await delay(pollIntervalMs);
 	}
 
 	private start(words: string[]): void {
--- a/bench/support/simulate-limits.ts
+++ b/bench/support/simulate-limits.ts
@@ -30,7 +30,7 @@
 	const clock = {now: 0};
 	const isCut = (): boolean => clock.now >= cutFromMs;
 	const isNoticed = (): boolean => clock.now >= cutFromMs + noticedAfterMs;
-	const zoneOf = (entry: number): number => entry < entries / 2 ? 0 : 1;
+	const getZone = (entry: number): number => entry < entries / 2 ? 0 : 1;
 	const demand: LimitDemand = {
 		name: 'requestsPerSecond/service/organisation', kind: 'requestsPerSecond', value: limit, amount: 1,
 	};
@@ -38,9 +38,9 @@
 		id: String(entry),
 		lender: new Lender(),
 		clock: () => clock.now,
-		findHome: () => isNoticed() && zoneOf(entry) === 1 ? '4' : '0',
+		findHome: () => isNoticed() && getZone(entry) === 1 ? '4' : '0',
 		ask(home, message) {
-			if (isCut() && zoneOf(Number(home)) !== zoneOf(entry)) {
+			if (isCut() && getZone(Number(home)) !== getZone(entry)) {
 				return false;
 			}
 
--- a/bench/table.ts
+++ b/bench/table.ts
@@ -18,7 +18,7 @@
 	service: `service-${index % services}`, organisation: `organisation-${Math.floor(index / services)}`, group: '*', concurrency: 10,
 }));
 
-const time = <Value>(name: string, work: () => Value, results: Array<Record<string, string | number>>): Value => {
+const measureTime = <Value>(name: string, work: () => Value, results: Array<Record<string, string | number>>): Value => {
 	const startedAt = performance.now();
 	const value = work();
 	results.push({case: name, milliseconds: performance.now() - startedAt});
@@ -26,7 +26,7 @@
 };
 
 /* Time from the acceptance of a change to its being in force at every process. */
-const measureSpread = async (name: string, prepare: (system: Awaited<ReturnType<typeof startSystem>>) => void): Promise<Record<string, string | number>> => {
+const measurePropagation = async (name: string, prepare: (system: Awaited<ReturnType<typeof startSystem>>) => void): Promise<Record<string, string | number>> => {
 	const system = await startSystem({
 		zones: ['zone-1', 'zone-2'], entriesPerZone: 4, ranks: 16, workers: 3, table: 'service,organisation,group,weight\n*,x,*,1\n', clock: readClock, random: Math.random,
 	});
@@ -39,7 +39,7 @@
 		});
 		const version = applied._unsafeUnwrap();
 		const acceptedAt = performance.now();
-		await system.until('the change is in force everywhere', () =>
+		await system.waitUntil('the change is in force everywhere', () =>
 			[...system.entries.values()].every(entry => entry.getTable()?.version === version)
 			&& [...system.targets.values()].every(({target}) => target.getStatus().tableVersion === version));
 		spreads.push(performance.now() - acceptedAt);
@@ -54,19 +54,19 @@
 export async function benchTable(): Promise<void> {
 	const results: Array<Record<string, string | number>> = [];
 	const rows = makeRows();
-	const csv = time('format 26800 rows', () => formatTable(rows, 1), results);
-	const parsed = time('parse and check 26800 rows', () => parseTable(csv)._unsafeUnwrap(), results);
+	const csv = measureTime('format 26800 rows', () => formatTable(rows, 1), results);
+	const parsed = measureTime('parse and check 26800 rows', () => parseTable(csv)._unsafeUnwrap(), results);
 	const changed = parsed.rows.with(5, {...parsed.rows[5], weight: 7});
-	time('diff 26800 rows', () => diffTables(parsed.rows, changed), results);
-	const pages = time('encode pages of 26800 rows', () => encodePages(changed), results);
+	measureTime('diff 26800 rows', () => diffTables(parsed.rows, changed), results);
+	const pages = measureTime('encode pages of 26800 rows', () => encodePages(changed), results);
 	const before = new Set(encodePages(parsed.rows).map(({hash}) => hash));
 	const written = pages.filter(({hash}) => !before.has(hash)).reduce((sum, {text}) => sum + text.length, 0);
 	results.push(
 		{case: 'bytes of the CSV', bytes: csv.length},
 		{case: 'bytes of all pages', bytes: pages.reduce((sum, {text}) => sum + text.length, 0)},
 		{case: 'bytes written for one changed row', bytes: written},
-		await measureSpread('in force at 8 entries and 19 targets, healthy, p50', () => undefined),
-		await measureSpread('the same with every watch broken before each change, p50', system => {
+		await measurePropagation('in force at 8 entries and 19 targets, healthy, p50', () => undefined),
+		await measurePropagation('the same with every watch broken before each change, p50', system => {
 			system.platform.breakWatches();
 		}),
 	);
--- a/bench/trade-off.ts
+++ b/bench/trade-off.ts
@@ -7,8 +7,8 @@
 import {drawCurves} from './support/draw-curves.js';
 import {report} from './support/report.js';
 
-const ratios = [0.03, 0.1, 0.3, 1, 3, 10, 30];
-const families: ReadonlyArray<{readonly kind: TraceKind; readonly ranks: number; readonly slots: number; readonly color: string}> = [
+const weightRatios = [0.03, 0.1, 0.3, 1, 3, 10, 30];
+const traceCases: ReadonlyArray<{readonly kind: TraceKind; readonly ranks: number; readonly slots: number; readonly color: string}> = [
 	{
 		kind: 'season', ranks: 64, slots: 2, color: '#1f77b4',
 	},
@@ -29,7 +29,7 @@
 export async function benchTradeOff(): Promise<void> {
 	const cases = [];
 	const curves = [];
-	for (const {kind, ranks, slots, color} of families) {
+	for (const {kind, ranks, slots, color} of traceCases) {
 		const shape = {
 			layers, experts, ranks, slots,
 		};
@@ -37,7 +37,7 @@
 			kind, seed: 1, intervals: 100, layers, experts, zipf: 0.8,
 		});
 		const points = [];
-		for (const ratio of ratios) {
+		for (const ratio of weightRatios) {
 			const policy = makePolicy('incremental', shape, {skew: ratio, move: 1});
 			const {meanSkew, moves} = summarizeReplay(replayTrace({
 				trace, shape, policy, clock: () => 0,
--- a/features/steps/crash-steps.ts
+++ b/features/steps/crash-steps.ts
@@ -125,13 +125,13 @@
 
 Given('all targets cut each connection within the answer', function (this: SystemWorld) {
 	for (const target of listTargets(this)) {
-		target.manners.shift = () => 'cut';
+		target.behaviours.shift = () => 'cut';
 	}
 });
 
 When('targets answer again', function (this: SystemWorld) {
 	for (const target of listTargets(this)) {
-		target.manners.shift = () => 'answer';
+		target.behaviours.shift = () => 'answer';
 	}
 });
 
--- a/features/steps/docs-steps.ts
+++ b/features/steps/docs-steps.ts
@@ -12,21 +12,21 @@
 import {TargetSettings} from '../../src/config/target-settings.js';
 import {type SystemWorld} from '../support/system-world.js';
 
-const schemas = {
+const settingsSchemas = {
 	'wardswitch-entry': EntrySettings,
 	'wardswitch-target': TargetSettings,
 	'forwarding wardswitch-entry': ForwardEntrySettings,
 	'wardswitch-rank': RankSettings,
 } as const;
-const examples = {
+const exampleFiles = {
 	'wardswitch-entry': 'examples/entry.toml',
 	'wardswitch-target': 'examples/target.toml',
 	'forwarding wardswitch-entry': 'examples/forward-entry.toml',
 	'wardswitch-rank': 'examples/rank.toml',
 } as const;
-type Program = keyof typeof schemas;
+type Program = keyof typeof settingsSchemas;
 
-const read = (program: string, file: string) => readSettings<z.ZodType>(file, schemas[program as Program]);
+const readProgramSettings = (program: string, file: string) => readSettings<z.ZodType>(file, settingsSchemas[program as Program]);
 
 Then('every page written by {string} is as it would be written now', (_command: string) => {
 	for (const {file, text} of makePages()) {
@@ -35,15 +35,15 @@
 });
 
 When('{string} checks {string}', function (this: SystemWorld, program: string, file: string) {
-	this.notes.set('settings', read(program, file));
+	this.notes.set('settings', readProgramSettings(program, file));
 });
 
 Then('the settings are accepted', function (this: SystemWorld) {
-	(this.notes.get('settings') as ReturnType<typeof read>)._unsafeUnwrap();
+	(this.notes.get('settings') as ReturnType<typeof readProgramSettings>)._unsafeUnwrap();
 });
 
 Given('example settings of {string} with {string} in place of {string}', function (this: SystemWorld, program: string, line: string, old: string) {
-	const example = readFileSync(examples[program as Program], 'utf8');
+	const example = readFileSync(exampleFiles[program as Program], 'utf8');
 	assert.ok(example.includes(old));
 	const file = path.join(mkdtempSync(path.join(tmpdir(), 'wardswitch-settings-')), 'settings.toml');
 	writeFileSync(file, example.replace(old, line));
@@ -52,11 +52,11 @@
 });
 
 When('they are read', function (this: SystemWorld) {
-	this.notes.set('settings', read(this.notes.get('program') as string, this.notes.get('file') as string));
+	this.notes.set('settings', readProgramSettings(this.notes.get('program') as string, this.notes.get('file') as string));
 });
 
 Then('the problem names the file, {string} and {string}', function (this: SystemWorld, key: string, expectation: string) {
-	const {message} = (this.notes.get('settings') as ReturnType<typeof read>)._unsafeUnwrapErr();
+	const {message} = (this.notes.get('settings') as ReturnType<typeof readProgramSettings>)._unsafeUnwrapErr();
 	assert.ok(message.includes(this.notes.get('file') as string), message);
 	assert.ok(message.includes(key), message);
 	assert.ok(message.includes(expectation), message);
--- a/features/steps/drain-steps.ts
+++ b/features/steps/drain-steps.ts
@@ -9,7 +9,7 @@
 const stepPauseMs = 5;
 
 const findRunning = async (world: SystemWorld): Promise<string> => {
-	await world.system.until('an engine runs the request', () => [...world.system.engines.values()].some(({active}) => active.size > 0));
+	await world.system.waitUntil('an engine runs the request', () => [...world.system.engines.values()].some(({active}) => active.size > 0));
 	const [id] = [...world.system.engines].find(([, {active}]) => active.size > 0)!;
 	world.notes.set('target', id);
 	return id;
@@ -110,7 +110,7 @@
 });
 
 Then('no engine runs anything', async function (this: SystemWorld) {
-	await this.system.until('every engine is free', () => [...this.system.engines.values()].every(({active}) => active.size === 0));
+	await this.system.waitUntil('every engine is free', () => [...this.system.engines.values()].every(({active}) => active.size === 0));
 });
 
 Then('the reply is visibly broken', async function (this: SystemWorld) {
--- a/features/steps/expert-balance-steps.ts
+++ b/features/steps/expert-balance-steps.ts
@@ -11,12 +11,12 @@
 const patienceMs = 10_000;
 
 const isHeld = async (fleet: RankFleet): Promise<boolean> => {
-	const reports = await Promise.all([0, 1, 2, 3].map(async rank => fleet.group.open(rank).readReport()));
+	const reports = await Promise.all([0, 1, 2, 3].map(async rank => fleet.group.openEngine(rank).readReport()));
 	return reports.some(({heldStep}) => heldStep !== undefined);
 };
 
 const isArmed = async (fleet: RankFleet): Promise<boolean> => {
-	const reports = await Promise.all([0, 1, 2, 3].map(async rank => fleet.group.open(rank).readReport()));
+	const reports = await Promise.all([0, 1, 2, 3].map(async rank => fleet.group.openEngine(rank).readReport()));
 	return reports.some(({armed}) => armed !== undefined);
 };
 
@@ -32,7 +32,7 @@
 	const fleet = new RankFleet(seed);
 	const {random, group} = fleet;
 	fleet.followAll(fleet.elect(0));
-	group.options.lateShare = random() * 0.4;
+	group.options.delayedShare = random() * 0.4;
 	group.options.unansweredShare = random() * 0.3;
 	fleet.lossShare = random() * 0.2;
 	fleet.hasEntry = random() < 0.5;
@@ -40,7 +40,7 @@
 		const rank = Math.floor(random() * 4);
 		const luck = random();
 		if (luck < 0.01) {
-			group.shift();
+			group.shiftDemand();
 		} else if (luck < 0.014) {
 			fleet.restartMember(rank);
 		} else if (luck < 0.018) {
@@ -58,10 +58,10 @@
 		} else if (luck < 0.08) {
 			fleet.planners[Math.floor(random() * fleet.planners.length)].isFrozen = false;
 		} else if (luck < 0.0815) {
-			group.reform();
+			group.startNextEpoch();
 		}
 	});
-	group.options.lateShare = 0;
+	group.options.delayedShare = 0;
 	group.options.unansweredShare = 0;
 	fleet.lossShare = 0;
 	fleet.frozen.clear();
@@ -94,7 +94,7 @@
 });
 
 Given('half of the orders are left unanswered and carried out late', function (this: SystemWorld) {
-	getFleet(this).group.options.lateShare = 0.5;
+	getFleet(this).group.options.delayedShare = 0.5;
 });
 
 When('{int} second(s) pass(es)', async function (this: SystemWorld, seconds: number) {
@@ -104,7 +104,7 @@
 When('{int} seconds pass with a shift each {int} seconds', async function (this: SystemWorld, seconds: number, each: number) {
 	const fleet = getFleet(this);
 	for (let passed = 0; passed < seconds; passed += each) {
-		fleet.group.shift();
+		fleet.group.shiftDemand();
 		await fleet.run(each * 1000);
 	}
 });
@@ -253,10 +253,10 @@
 });
 
 When('all of its engines start again', function (this: SystemWorld) {
-	getFleet(this).group.restart();
+	getFleet(this).group.restartEngines();
 });
 
 Then('the group is not on the map that it was formed with', async function (this: SystemWorld) {
-	const {mapVersion} = await getFleet(this).group.open(0).readReport();
+	const {mapVersion} = await getFleet(this).group.openEngine(0).readReport();
 	assert.ok(mapVersion > 0, getFleet(this).log.join('\n'));
 });
--- a/features/steps/expert-plan-steps.ts
+++ b/features/steps/expert-plan-steps.ts
@@ -116,7 +116,7 @@
 When('the group is formed anew', function (this: SystemWorld) {
 	const fleet = this.notes.get('fleet') as RankFleet;
 	this.notes.set('lines', fleet.log.length);
-	fleet.group.reform();
+	fleet.group.startNextEpoch();
 });
 
 When('{int} ms of its work pass', async function (this: SystemWorld, ms: number) {
--- a/features/steps/forward-steps.ts
+++ b/features/steps/forward-steps.ts
@@ -40,23 +40,23 @@
 	await build(this, entries, targets);
 });
 
-Given('the next target answers {string}', function (this: SystemWorld, manner: HttpTarget['manners'][number]) {
+Given('the next target answers {string}', function (this: SystemWorld, manner: HttpTarget['behaviours'][number]) {
 	// Whichever target is asked first answers so; the others answer rightly.
 	const {targets} = getSystem(this);
 	const queue = [manner];
 	for (const target of targets.values()) {
-		target.manners.shift = () => queue.shift();
+		target.behaviours.shift = () => queue.shift();
 	}
 });
 
 Given('all targets fail', function (this: SystemWorld) {
 	for (const target of getSystem(this).targets.values()) {
-		target.manners.shift = () => 'fail';
+		target.behaviours.shift = () => 'fail';
 	}
 });
 
 Given('the next {int} answers are followed by another', function (this: SystemWorld, count: number) {
-	getTarget(this, 1).manners.push(...Array.from({length: count}, () => 'extra' as const));
+	getTarget(this, 1).behaviours.push(...Array.from({length: count}, () => 'extra' as const));
 });
 
 When('a caller posts {string} to {string}', function (this: SystemWorld, body: string, path: string) {
@@ -147,20 +147,20 @@
 When('the entry is told to stop while a caller waits for {string}', async function (this: SystemWorld, path: string) {
 	const system = getSystem(this);
 	const target = getTarget(this, 1);
-	target.manners.push('slow');
+	target.behaviours.push('slow');
 	send(this, {path, method: 'POST', body: 'a block'});
 	await system.until(() => target.runs.length === 1);
 	const entry = system.entries.get('entry-1')!;
 	this.notes.set('stop', entry.stop());
 	this.notes.set('ready', entry.isReady());
-	target.release();
+	target.releaseAnswer();
 });
 
 When('the entry is told to stop within a stream on a kept connection', async function (this: SystemWorld) {
 	const system = getSystem(this);
 	const target = getTarget(this, 1);
 	// Another request stays open, so that the process cannot end meanwhile.
-	target.manners.push('silent');
+	target.behaviours.push('silent');
 	const stayOpen = async (): Promise<void> => {
 		try {
 			await system.call({path: '/release/1', method: 'POST', body: 'a block'});
@@ -171,7 +171,7 @@
 
 	void stayOpen();
 	await system.until(() => target.runs.length === 1);
-	target.manners.push('slow');
+	target.behaviours.push('slow');
 	const entry = system.entries.get('entry-1')!;
 	const socket = connect(entry.httpPort, '127.0.0.1');
 	let text = '';
@@ -188,7 +188,7 @@
 	// No connection is taken any more once the notice is over.
 	await system.until(async () => !await system.isTakingConnections('entry-1'));
 	const closed = once(socket, 'close', {signal: AbortSignal.timeout(1500)});
-	target.release();
+	target.releaseAnswer();
 	await closed;
 	this.notes.set('text', text);
 });
@@ -267,7 +267,7 @@
 });
 
 Then('the target sees that request cut off', async function (this: SystemWorld) {
-	await getSystem(this).until(() => getTarget(this, 1).cuts.includes('leaver'));
+	await getSystem(this).until(() => getTarget(this, 1).abortedRequests.includes('leaver'));
 });
 
 Then('the entry is not ready at once', function (this: SystemWorld) {
--- a/features/steps/limit-steps.ts
+++ b/features/steps/limit-steps.ts
@@ -127,7 +127,7 @@
 });
 
 Given('target {int} names a limit of {string} in its answers', function (this: SystemWorld, number: number, limit: string) {
-	getTarget(this, number).marks = {'x-limit': limit};
+	getTarget(this, number).extraHeaders = {'x-limit': limit};
 });
 
 When('callers send {string} {int} times, to the entries in turn', async function (this: SystemWorld, request: string, count: number) {
@@ -258,7 +258,7 @@
 
 Given('each target but {int} names a limit of {string} in its answers', function (this: SystemWorld, number: number, limit: string) {
 	for (const target of getSystem(this).targets.values()) {
-		target.marks = target.target.id === `target-${number}` ? {} : {'x-limit': limit};
+		target.extraHeaders = target.target.id === `target-${number}` ? {} : {'x-limit': limit};
 	}
 });
 
--- a/features/steps/map-plan-steps.ts
+++ b/features/steps/map-plan-steps.ts
@@ -49,12 +49,12 @@
 
 Given('a running system whose engines report uneven expert loads', async function (this: SystemWorld) {
 	await this.startSystem({entrySettings: {maps: {intervalMs: 200}}});
-	this.system.group.firstMap = firstMap;
+	this.system.group.initialMap = firstMap;
 	this.system.group.expertLoads = unevenLoads;
 });
 
 When('the engines run until all ranks use epoch {int}', async function (this: SystemWorld, epoch: number) {
-	await this.system.until(`all ranks use epoch ${epoch}`, async () => {
+	await this.system.waitUntil(`all ranks use epoch ${epoch}`, async () => {
 		await runStep(this);
 		return this.system.group.ranks.every(rank => rank.epoch >= epoch);
 	});
@@ -80,7 +80,7 @@
 });
 
 Then('the platform records epoch {int}', async function (this: SystemWorld, epoch: number) {
-	await this.system.until('the map is recorded', async () => {
+	await this.system.waitUntil('the map is recorded', async () => {
 		const stored = await this.system.keyValue.get(groupKeys.mapInUse('stone-drafts-a'));
 		const {value} = stored._unsafeUnwrap() ?? {};
 		return value !== undefined && GroupMap.parse(JSON.parse(value)).epoch >= epoch;
--- a/features/steps/once-steps.ts
+++ b/features/steps/once-steps.ts
@@ -14,7 +14,7 @@
 		port: getEntry(world, entry).httpPort, path: '/services/yard-dispatch/tickets', headers, body: `release ${ticket}`,
 	});
 
-const countRuns = (world: SystemWorld): number => [...world.system.services.values()].reduce((sum, service) => sum + service.total, 0);
+const countRuns = (world: SystemWorld): number => [...world.system.services.values()].reduce((sum, service) => sum + service.totalRequests, 0);
 
 const countClaims = async (world: SystemWorld): Promise<number> => {
 	const claims = await world.system.keyValue.list(claimPrefix);
@@ -32,13 +32,13 @@
 
 Given('{string} holds its answers', function (this: SystemWorld, _service: string) {
 	for (const service of this.system.services.values()) {
-		service.isHolding = true;
+		service.isHoldingAnswers = true;
 	}
 });
 
 When('{string} gives its answers', function (this: SystemWorld, _service: string) {
 	for (const service of this.system.services.values()) {
-		service.release();
+		service.releaseAnswers();
 	}
 });
 
@@ -47,20 +47,20 @@
 });
 
 When('entry {int} is asked to release ticket {string} with key {string} again', async function (this: SystemWorld, entry: number, ticket: string, key: string) {
-	await this.system.until('the first copy holds the claim', async () => await countClaims(this) === 1);
+	await this.system.waitUntil('the first copy holds the claim', async () => await countClaims(this) === 1);
 	this.replies.set('second', release(this, entry, ticket, {'idempotency-key': key}));
 });
 
 When('both copies have reached a target', async function (this: SystemWorld) {
-	await this.system.until('a run has begun', () => countRuns(this) === 1);
-	await this.system.until('the second copy is attached', () => {
+	await this.system.waitUntil('a run has begun', () => countRuns(this) === 1);
+	await this.system.waitUntil('the second copy is attached', () => {
 		const {targets} = getEntry(this, 3).getStatus() as {targets: Array<{openCalls: number}>};
 		return targets.some(({openCalls}) => openCalls > 0);
 	});
 });
 
 When('{string} has begun {int} run', async function (this: SystemWorld, _service: string, count: number) {
-	await this.system.until('the run has begun', () => countRuns(this) === count);
+	await this.system.waitUntil('the run has begun', () => countRuns(this) === count);
 });
 
 When('entry {int} dies', async function (this: SystemWorld, entry: number) {
@@ -68,7 +68,7 @@
 });
 
 When('the target process that runs it dies and is replaced', async function (this: SystemWorld) {
-	const [id] = [...this.system.services].find(([, service]) => service.total > 0)!;
+	const [id] = [...this.system.services].find(([, service]) => service.totalRequests > 0)!;
 	await this.system.targets.get(id)!.target.kill();
 	await this.system.restartTarget(id);
 });
@@ -78,7 +78,7 @@
 		await this.system.targets.get(id)!.target.kill();
 		await this.system.restartTarget(id);
 		const {incarnation} = this.system.targets.get(id)!.target;
-		await this.system.until('every entry is linked to the new process', () => [...this.system.entries.values()].every(entry => {
+		await this.system.waitUntil('every entry is linked to the new process', () => [...this.system.entries.values()].every(entry => {
 			const {targets} = entry.getStatus() as {targets: Array<{id: string; incarnation: string; isReady: boolean}>};
 			return targets.some(target => target.id === id && target.isReady && target.incarnation === incarnation);
 		}));
--- a/features/steps/overload-steps.ts
+++ b/features/steps/overload-steps.ts
@@ -118,7 +118,7 @@
 
 When('a caller asks for a long answer', async function (this: SystemWorld) {
 	void askModel(this, 0, 1000);
-	await this.system.until('it runs', () => [...this.system.engines.values()].some(({active}) => active.size === 1));
+	await this.system.waitUntil('it runs', () => [...this.system.engines.values()].some(({active}) => active.size === 1));
 });
 
 When('{int} callers more ask for long answers', function (this: SystemWorld, count: number) {
@@ -128,12 +128,12 @@
 });
 
 Then('each of the {int} runs at another target', async function (this: SystemWorld, count: number) {
-	await this.system.until('each runs at another target', () => [...this.system.engines.values()].filter(({active}) => active.size === 1).length === count);
+	await this.system.waitUntil('each runs at another target', () => [...this.system.engines.values()].filter(({active}) => active.size === 1).length === count);
 });
 
 Given('the engines of {string} and {string} break every answer off', function (this: SystemWorld, one: string, other: string) {
 	for (const id of [one, other]) {
-		this.system.engines.get(id)!.isBreaking = true;
+		this.system.engines.get(id)!.isDroppingConnections = true;
 	}
 });
 
@@ -153,7 +153,7 @@
 });
 
 Then('the engines have seen at most {int} requests', function (this: SystemWorld, count: number) {
-	const seen = [...this.system.engines.values()].reduce((sum, engine) => sum + engine.total, 0);
+	const seen = [...this.system.engines.values()].reduce((sum, engine) => sum + engine.totalRequests, 0);
 	assert.ok(seen <= count, String(seen));
 });
 
@@ -197,11 +197,11 @@
 	}
 });
 
-const countRuns = (world: SystemWorld): number => [...world.system.services.values()].reduce((sum, {total}) => sum + total, 0);
+const countRuns = (world: SystemWorld): number => [...world.system.services.values()].reduce((sum, {totalRequests: total}) => sum + total, 0);
 
 /* A first request opens the link to the limit's home. An entry that misses its home may run one request beside it. */
 Given('every entry has served a request', async function (this: SystemWorld) {
-	await this.system.until('every entry reaches the home of the limit', async () => {
+	await this.system.waitUntil('every entry reaches the home of the limit', async () => {
 		const replies = [];
 		for (let entry = 0; entry < this.system.entries.size; entry++) {
 			replies.push(await ask(this, entry, '/services/yard-dispatch/x', 'x'));
@@ -215,7 +215,7 @@
 Then('at most {int} requests run at once and the others of {int} were refused with {int}', async function (this: SystemWorld, most: number, all: number, status: number) {
 	const ended = this.notes.get('ended') as Reply[];
 	const countHeld = (): number => countRuns(this) - (this.notes.get('runsBefore') as number);
-	await this.system.until('each request runs or is refused', () => ended.length + countHeld() === all);
+	await this.system.waitUntil('each request runs or is refused', () => ended.length + countHeld() === all);
 	assert.ok(countHeld() > 0 && countHeld() <= most, `${countHeld()} run`);
 	assert.ok(ended.every(reply => reply.status === status));
 });
--- a/features/steps/rest-steps.ts
+++ b/features/steps/rest-steps.ts
@@ -44,15 +44,15 @@
 });
 
 Given('target {int} says in its answers that it is about to leave', function (this: SystemWorld, number: number) {
-	getTarget(this, number).marks = {'x-leaving': '1'};
+	getTarget(this, number).extraHeaders = {'x-leaving': '1'};
 });
 
-Given('target {int} answers {string} first', function (this: SystemWorld, number: number, manner: HttpTarget['manners'][number]) {
-	getTarget(this, number).manners.push(manner);
+Given('target {int} answers {string} first', function (this: SystemWorld, number: number, manner: HttpTarget['behaviours'][number]) {
+	getTarget(this, number).behaviours.push(manner);
 });
 
 When('target {int} does not say it any more', function (this: SystemWorld, number: number) {
-	getTarget(this, number).marks = {};
+	getTarget(this, number).extraHeaders = {};
 });
 
 When('target {int} is registered once more as before', async function (this: SystemWorld, number: number) {
@@ -61,7 +61,7 @@
 
 When('target {int} starts again under its id', async function (this: SystemWorld, number: number) {
 	const target = getTarget(this, number);
-	target.marks = {};
+	target.extraHeaders = {};
 	target.refusal = undefined;
 	await register(this, number, {bornAt: 2});
 });
--- a/features/steps/restored-store-steps.ts
+++ b/features/steps/restored-store-steps.ts
@@ -1,7 +1,7 @@
 import assert from 'node:assert/strict';
 import {Given, Then, When} from '@cucumber/cucumber';
 import {Registry} from 'prom-client';
-import {makeViewGauges} from '../../src/metrics/make-view-gauges.js';
+import {registerViewGauges} from '../../src/metrics/register-view-gauges.js';
 import {StoreCrowd} from '../support/store-crowd.js';
 import {stirStore} from '../support/stir-store.js';
 import {type SystemWorld} from '../support/system-world.js';
@@ -33,7 +33,7 @@
 
 	await crowd.pass(settleMs);
 	if (world.notes.has('silent waits')) {
-		crowd.store.silenceWaits('1');
+		crowd.store.hangWaits('1');
 	}
 
 	await crowd.drill({awayMs, rewriteMs: 0, isSilent});
@@ -87,7 +87,7 @@
 });
 
 When('the store does not tell its era', function (this: SystemWorld) {
-	getCrowd(this).store.tellsEra = false;
+	getCrowd(this).store.reportsEra = false;
 });
 
 When('the operator changes the configuration twice, and the store comes back without the second', async function (this: SystemWorld) {
@@ -100,7 +100,7 @@
 	await crowd.pass(settleMs);
 	crowd.setFault('down');
 	await crowd.pass(300);
-	crowd.store.goBack();
+	crowd.store.restoreCopy();
 	crowd.setFault('none');
 	await crowd.pass(settleMs);
 });
@@ -208,7 +208,7 @@
 	const crowd = getCrowd(this);
 	for (const {id, state: {view}} of crowd.entries.values()) {
 		const registry = new Registry();
-		makeViewGauges(registry, () => view, () => crowd.now);
+		registerViewGauges(registry, () => view, () => crowd.now);
 		const text = await registry.metrics();
 		assert.match(text, /^wardswitch_store_era 1$/mv);
 		assert.match(text, new RegExp(`^wardswitch_view_revision ${crowd.store.lastRevision}$`, 'mv'));
@@ -238,7 +238,7 @@
 });
 
 Then('no more than {int} writes have reached the store within {int} ms', function (this: SystemWorld, most: number, ms: number) {
-	const {writtenAt} = getCrowd(this).store;
+	const {writeTimes: writtenAt} = getCrowd(this).store;
 	const counts = writtenAt.map(at => writtenAt.filter(other => other >= at && other < at + ms).length);
 	assert.ok(Math.max(...counts) <= most, counts.join(', '));
 });
--- a/features/steps/seen-steps.ts
+++ b/features/steps/seen-steps.ts
@@ -36,7 +36,7 @@
 	const names = list.split(', ');
 	const collector = this.notes.get('collector') as TraceCollector;
 	const traceId = this.notes.get('traceId') as string;
-	await this.system.until('all spans have arrived', () => names.every(name => collector.spans.some(span => span.name === name && span.traceId === traceId)));
+	await this.system.waitUntil('all spans have arrived', () => names.every(name => collector.spans.some(span => span.name === name && span.traceId === traceId)));
 });
 
 Then('the admin server of entry {int} tells {string}', async function (this: SystemWorld, number: number, line: string) {
@@ -49,7 +49,7 @@
 Then('the command {string} of that request names the target that ran it', async function (this: SystemWorld, command: string) {
 	const reply = await this.replies.get('first')!;
 	const {stdout, code} = await runCommand([command, String(reply.headers['wardswitch-request-id']), ...getAddresses(this)]);
-	const [id] = [...this.system.services].find(([, service]) => service.total > 0)!;
+	const [id] = [...this.system.services].find(([, service]) => service.totalRequests > 0)!;
 	assert.equal(code, 0);
 	assert.ok(stdout.includes(`answered whole by ${id}`), stdout);
 });
--- a/features/steps/suspend-steps.ts
+++ b/features/steps/suspend-steps.ts
@@ -1,6 +1,6 @@
 import assert from 'node:assert/strict';
 import {Given, Then, When} from '@cucumber/cucumber';
-import {SteadyClock} from '../../src/config/steady-clock.js';
+import {SuspendAwareClock} from '../../src/config/suspend-aware-clock.js';
 import {readMonotonicClock} from '../../src/config/read-monotonic-clock.js';
 import {type ForwardSystem} from '../support/forward-system.js';
 import {type SystemWorld} from '../support/system-world.js';
@@ -14,7 +14,7 @@
 	readonly uptimePace: number;
 	/** What happens after the next reading of the steady clock. */
 	onRead: (() => void) | undefined;
-	readonly clock: SteadyClock;
+	readonly clock: SuspendAwareClock;
 	readonly lines: string[];
 };
 
@@ -41,14 +41,14 @@
 		uptimePace,
 		onRead: undefined,
 		lines,
-		clock: new SteadyClock({
-			readSteady() {
+		clock: new SuspendAwareClock({
+			readMonotonic() {
 				const {steadyMs, onRead} = clocks;
 				clocks.onRead = undefined;
 				onRead?.();
 				return steadyMs;
 			},
-			readTimeOfDay: () => clocks.timeOfDayMs,
+			readWallClock: () => clocks.timeOfDayMs,
 			readUptime: () => clocks.uptimeMs,
 			log(message) {
 				lines.push(message);
--- a/features/steps/table-steps.ts
+++ b/features/steps/table-steps.ts
@@ -91,7 +91,7 @@
 });
 
 Then('every entry and target knows version {int}', async function (this: SystemWorld, version: number) {
-	await this.system.until(`version ${version} is known everywhere`, () =>
+	await this.system.waitUntil(`version ${version} is known everywhere`, () =>
 		[...this.system.entries.values()].every(entry => entry.getTable()?.version === version)
 		&& [...this.system.targets.values()].every(({target}) => target.getStatus().tableVersion === version));
 });
@@ -140,7 +140,7 @@
 });
 
 Given('a copy of the platform is made', function (this: SystemWorld) {
-	this.notes.set('copy', this.system.platform.store.copy());
+	this.notes.set('copy', this.system.platform.store.takeSnapshot());
 });
 
 When('the platform is restored from the copy and its watches break', function (this: SystemWorld) {
@@ -158,7 +158,7 @@
 });
 
 Then('some entry reports {string}', async function (this: SystemWorld, text: string) {
-	await this.system.until(`an entry reports "${text}"`, () => [...this.system.entries.values()].some(entry => {
+	await this.system.waitUntil(`an entry reports "${text}"`, () => [...this.system.entries.values()].some(entry => {
 		const {table} = entry.getStatus() as {table: {trouble?: string}};
 		return table.trouble?.includes(text) ?? false;
 	}));
@@ -169,7 +169,7 @@
 });
 
 Then('{int} entries watch the platform', async function (this: SystemWorld, count: number) {
-	await this.system.until('the watchers have settled', () => [...this.system.entries.values()].filter(entry => {
+	await this.system.waitUntil('the watchers have settled', () => [...this.system.entries.values()].filter(entry => {
 		const {table} = entry.getStatus() as {table: {isWatcher: boolean}};
 		return table.isWatcher;
 	}).length === count);
--- a/features/support/entry-crowd.ts
+++ b/features/support/entry-crowd.ts
@@ -140,7 +140,7 @@
 				type: 'hello', protocol: 2, id: `entry-${index}`, role: 'entry', availabilityZone, incarnation: '1', tableVersion: 0,
 			}),
 			view: new StoreView({
-				feed: new MemoryStore().open(address),
+				feed: new MemoryStore().createClient(address),
 				prefix: '',
 				guard: unguarded,
 				waitMs: 1,
--- a/features/support/forward-system.ts
+++ b/features/support/forward-system.ts
@@ -83,7 +83,7 @@
 	/** Starts an entry; `isWaiting` says whether it must become ready. */
 	async addEntry(id: string, isWaiting = true): Promise<Entry> {
 		const [httpPort, linkPort, readyPort, metricsPort] = await findFreePorts(4);
-		const store = this.store.open(id);
+		const store = this.store.createClient(id);
 		const entry = await startForwardEntry(ForwardEntrySettings.parse({
 			id,
 			availabilityZone: 'barre-hall',
--- a/features/support/map-group.ts
+++ b/features/support/map-group.ts
@@ -149,7 +149,7 @@
 				throw new Error('stalled');
 			}
 
-			const isTaken = this.engines.isCurrent(rank, fence) && work();
+			const isTaken = this.engines.acceptFence(rank, fence) && work();
 			if (rank === 0 && this.lostAnswers > 0) {
 				this.lostAnswers--;
 				throw new Error('answer lost');
--- a/features/support/office-crowd.ts
+++ b/features/support/office-crowd.ts
@@ -60,7 +60,7 @@
 			await this.pass(awayMs);
 		}
 
-		this.store.goBack();
+		this.store.restoreCopy();
 		this.setFault('none');
 	}
 
@@ -71,7 +71,7 @@
 			mock.timers.tick(turnMs);
 			await yieldTurn();
 			if (this.now % tickMs === 0) {
-				this.store.expire();
+				this.store.expireLeases();
 				this.tick();
 			}
 
@@ -112,7 +112,7 @@
 	}
 
 	private open(id: string): Candidate {
-		const store = this.store.open(id);
+		const store = this.store.createClient(id);
 		const view = new StoreView({
 			feed: store,
 			prefix: officeKey,
--- a/features/support/rank-fleet.ts
+++ b/features/support/rank-fleet.ts
@@ -41,7 +41,7 @@
 		const generator = xoroshiro128plus(seed);
 		this.random = () => uniformFloat64(generator);
 		this.group = new LockstepGroup({
-			shape, passMs, random: this.random, lateShare: 0, unansweredShare: 0,
+			shape, stepMs: passMs, random: this.random, delayedShare: 0, unansweredShare: 0,
 		});
 		for (let rank = 0; rank < shape.ranks; rank++) {
 			this.restartMember(rank);
@@ -94,7 +94,7 @@
 
 	restartMember(rank: number): void {
 		this.members[rank] = new RankMember({
-			engine: this.group.open(rank),
+			engine: this.group.openEngine(rank),
 			engineAddress: String(rank),
 			clock: () => this.now,
 			send: message => this.report(rank, message),
@@ -145,7 +145,7 @@
 
 	/* The engine of a VM that stands still goes on with its group, and answers nobody. */
 	private openFromAfar(rank: number): RankEngine {
-		const engine = this.group.open(rank);
+		const engine = this.group.openEngine(rank);
 		const check = (): void => {
 			if (this.frozen.has(rank)) {
 				throw new Error('no answer');
--- a/features/support/rank-service.ts
+++ b/features/support/rank-service.ts
@@ -57,7 +57,7 @@
 
 	/** Engines by group as they are written for entries. */
 	async readListings(): Promise<GroupListing[]> {
-		const listed = await this.store.open('reader').list(groupKeys.prefix);
+		const listed = await this.store.createClient('reader').list(groupKeys.prefix);
 		return listed._unsafeUnwrap().items.map(({value}) => GroupListing.parse(JSON.parse(value)));
 	}
 
@@ -86,7 +86,7 @@
 		this.now += turnMs;
 		for (const group of this.groups) {
 			if (this.now % shiftMs === 0) {
-				group.shift();
+				group.shiftDemand();
 			}
 
 			group.advance(this.now);
@@ -98,10 +98,10 @@
 
 	private makeGroup(index: number): LockstepGroup {
 		const group = new LockstepGroup({
-			name: `group-${index}`, shape: this.options, passMs: this.options.passMs, random: this.random, lateShare: 0, unansweredShare: 0,
+			name: `group-${index}`, shape: this.options, stepMs: this.options.passMs, random: this.random, delayedShare: 0, unansweredShare: 0,
 		});
 		for (let rank = 0; rank < this.options.ranks; rank++) {
-			this.engines.set(`vm-${index}-${rank}:2`, group.open(rank));
+			this.engines.set(`vm-${index}-${rank}:2`, group.openEngine(rank));
 		}
 
 		return group;
@@ -114,8 +114,8 @@
 			ownAddress,
 			engineAddress,
 			balance: BalanceSettings.parse({}),
-			feed: this.store.open(ownAddress),
-			registry: this.store.open(ownAddress),
+			feed: this.store.createClient(ownAddress),
+			registry: this.store.createClient(ownAddress),
 			openEngine: address => this.engines.get(address)!,
 			listEngines: async () => [...this.engines.keys()],
 			readService: async () => ({
--- a/features/support/store-crowd.ts
+++ b/features/support/store-crowd.ts
@@ -86,7 +86,7 @@
 	start(id: string): void {
 		const address = `10.0.0.${id}:1`;
 		const seeds = [...this.entries.values()].slice(0, 3).map(entry => entry.address);
-		const store = reachStore(this.store.open(id), {
+		const store = reachStore(this.store.createClient(id), {
 			onCall: () => {
 				this.countCall(id);
 			},
@@ -191,7 +191,7 @@
 			await this.pass(awayMs);
 		}
 
-		this.store.goBack(isSilent);
+		this.store.restoreCopy(isSilent);
 		this.setFault('none');
 		await this.pass(rewriteMs);
 		this.rewrite();
@@ -229,7 +229,7 @@
 			await yieldTurn();
 			this.runDue();
 			if (this.now % tickMs === 0) {
-				this.store.expire();
+				this.store.expireLeases();
 			}
 
 			for (const entry of this.entries.values()) {
--- a/features/support/verdict-formatter.ts
+++ b/features/support/verdict-formatter.ts
@@ -12,51 +12,51 @@
  */
 export default class VerdictFormatter extends Formatter {
 	private readonly scenarios = new Map<string, Scenario>();
-	private readonly names = new Map<string, string>();
-	private readonly caseByStart = new Map<string, string>();
+	private readonly pickleNames = new Map<string, string>();
+	private readonly testCaseByAttempt = new Map<string, string>();
 
 	constructor(options: IFormatterOptions) {
 		super(options);
 		options.eventBroadcaster.on('envelope', (envelope: Envelope) => {
-			this.take(envelope);
+			this.handleEnvelope(envelope);
 		});
 	}
 
-	private take(envelope: Envelope): void {
+	private handleEnvelope(envelope: Envelope): void {
 		if (envelope.pickle) {
-			this.names.set(envelope.pickle.id, `${envelope.pickle.uri}: ${envelope.pickle.name}`);
+			this.pickleNames.set(envelope.pickle.id, `${envelope.pickle.uri}: ${envelope.pickle.name}`);
 		}
 
 		if (envelope.testCase) {
-			this.scenarios.set(envelope.testCase.id, {name: this.names.get(envelope.testCase.pickleId)!, failure: undefined});
+			this.scenarios.set(envelope.testCase.id, {name: this.pickleNames.get(envelope.testCase.pickleId)!, failure: undefined});
 		}
 
 		if (envelope.testCaseStarted) {
-			this.caseByStart.set(envelope.testCaseStarted.id, envelope.testCaseStarted.testCaseId);
+			this.testCaseByAttempt.set(envelope.testCaseStarted.id, envelope.testCaseStarted.testCaseId);
 		}
 
 		if (envelope.testStepFinished) {
 			const {testCaseStartedId, testStepResult} = envelope.testStepFinished;
-			const scenario = this.scenarios.get(this.caseByStart.get(testCaseStartedId)!)!;
+			const scenario = this.scenarios.get(this.testCaseByAttempt.get(testCaseStartedId)!)!;
 			if (testStepResult.status !== TestStepResultStatus.PASSED) {
 				scenario.failure ??= testStepResult.message ?? testStepResult.status;
 			}
 		}
 
 		if (envelope.testCaseFinished) {
-			this.report(this.scenarios.get(this.caseByStart.get(envelope.testCaseFinished.testCaseStartedId)!)!);
+			this.printScenario(this.scenarios.get(this.testCaseByAttempt.get(envelope.testCaseFinished.testCaseStartedId)!)!);
 		}
 
 		if (envelope.testRunFinished) {
-			this.conclude();
+			this.printVerdict();
 		}
 	}
 
-	private report({name, failure}: Scenario): void {
+	private printScenario({name, failure}: Scenario): void {
 		this.log(failure === undefined ? `ok      ${name}\n` : `FAILED  ${name}\n${failure}\n`);
 	}
 
-	private conclude(): void {
+	private printVerdict(): void {
 		const all = [...this.scenarios.values()];
 		const failed = all.filter(({failure}) => failure !== undefined);
 		const known = readKnownRed(knownRedFile);
@@ -65,9 +65,9 @@
 			this.log(`${known.has(name) ? 'known red' : 'failed'}: ${name}: ${failure!.split('\n', 1)[0]}\n`);
 		}
 
-		const names = new Set(all.map(({name}) => name));
+		const namesRun = new Set(all.map(({name}) => name));
 		for (const name of known) {
-			if (!names.has(name)) {
+			if (!namesRun.has(name)) {
 				this.log(`known red, not run here: ${name}\n`);
 			}
 		}
--- a/src/bin/run-process.ts
+++ b/src/bin/run-process.ts
@@ -6,7 +6,7 @@
 import {startLogging} from '../log/start-logging.js';
 
 /** A process that runs until it is told to stop. */
-type Running = {
+type RunningProcess = {
 	readonly stopped?: Promise<void>;
 	stop(): Promise<void>;
 	kill(): Promise<void>;
@@ -14,13 +14,13 @@
 
 type ProcessOptions<Settings> = {
 	readonly name: string;
-	readonly read: (file: string) => Result<Settings, SettingsError>;
-	readonly start: (settings: Settings) => Promise<Running>;
+	readonly readFile: (file: string) => Result<Settings, SettingsError>;
+	readonly start: (settings: Settings) => Promise<RunningProcess>;
 };
 
-const usageExit = 2;
-const settingsExit = 78;
-const killedExit = 1;
+const usageExitCode = 2;
+const settingsExitCode = 78;
+const killedExitCode = 1;
 
 /**
  * Runs a process of the system: reads the settings file, starts, and stops on SIGTERM or SIGINT; a second signal
@@ -28,20 +28,20 @@
  *
  * Exit codes: 0 after a planned stop, 1 when cut short, 2 for wrong arguments, 78 for unusable settings.
  */
-export async function runProcess<Settings extends {readonly logLevel: NodeSettings['logLevel']}>(options: ProcessOptions<Settings>, words: readonly string[]): Promise<void> {
-	const isCheck = words.includes('--check-settings');
-	const files = words.filter(word => !word.startsWith('--'));
-	const unknown = words.find(word => word.startsWith('--') && word !== '--check-settings');
+export async function runProcess<Settings extends {readonly logLevel: NodeSettings['logLevel']}>(options: ProcessOptions<Settings>, args: readonly string[]): Promise<void> {
+	const isCheck = args.includes('--check-settings');
+	const files = args.filter(word => !word.startsWith('--'));
+	const unknown = args.find(word => word.startsWith('--') && word !== '--check-settings');
 	if (files.length !== 1 || unknown !== undefined) {
 		process.stderr.write(`usage: ${options.name} [--check-settings] SETTINGS.toml\n`);
-		process.exitCode = usageExit;
+		process.exitCode = usageExitCode;
 		return;
 	}
 
-	const settings = options.read(files[0]);
+	const settings = options.readFile(files[0]);
 	if (settings.isErr()) {
 		process.stderr.write(`${settings.error.message}\n`);
-		process.exitCode = settingsExit;
+		process.exitCode = settingsExitCode;
 		return;
 	}
 
@@ -55,9 +55,9 @@
 	let isStopping = false;
 	const handleSignal = (): void => {
 		if (isStopping) {
-			process.exitCode = killedExit;
+			process.exitCode = killedExitCode;
 			void running.kill().then(() => {
-				process.exit(killedExit); // eslint-disable-line unicorn/no-process-exit
+				process.exit(killedExitCode); // eslint-disable-line unicorn/no-process-exit
 			});
 			return;
 		}
@@ -69,7 +69,7 @@
 	const logger = getLogger('process');
 	process.on('SIGHUP', () => {
 		// Settings are read at the start: nothing that runs is changed or cut off by another file.
-		logger.info(`SIGHUP: ${describeReload(options.read(files[0]))}`);
+		logger.info(`SIGHUP: ${describeReload(options.readFile(files[0]))}`);
 	});
 	process.on('SIGTERM', handleSignal);
 	process.on('SIGINT', handleSignal);
--- a/src/bin/wardswitch-entry.ts
+++ b/src/bin/wardswitch-entry.ts
@@ -10,6 +10,6 @@
 
 await runProcess({
 	name: 'wardswitch-entry',
-	read: file => readSettings(file, EntrySettings),
+	readFile: file => readSettings(file, EntrySettings),
 	start: async settings => startEntry(settings, readClock, Math.random),
 }, process.argv.slice(2));
--- a/src/bin/wardswitch-target.ts
+++ b/src/bin/wardswitch-target.ts
@@ -10,6 +10,6 @@
 
 await runProcess({
 	name: 'wardswitch-target',
-	read: file => readSettings(file, TargetSettings),
+	readFile: file => readSettings(file, TargetSettings),
 	start: async settings => startTarget(settings, readClock),
 }, process.argv.slice(2));
--- a/src/config/read-monotonic-clock.ts
+++ b/src/config/read-monotonic-clock.ts
@@ -1,12 +1,12 @@
 import {uptime} from 'node:os';
 import {performance} from 'node:perf_hooks';
 import {getLogger} from '../log/get-logger.js';
-import {SteadyClock} from './steady-clock.js';
+import {SuspendAwareClock} from './suspend-aware-clock.js';
 
 const logger = getLogger('clock');
-const clock = new SteadyClock({
-	readSteady: () => performance.now(),
-	readTimeOfDay: () => Date.now(),
+const clock = new SuspendAwareClock({
+	readMonotonic: () => performance.now(),
+	readWallClock: () => Date.now(),
 	readUptime: () => uptime() * 1000,
 	log(message) {
 		logger.info(message);
--- a/src/config/steady-clock.ts
+++ b/src/config/suspend-aware-clock.ts
@@ -1,8 +1,8 @@
 type ClockOptions = {
 	/** The VM's steady clock, milliseconds; it stands still while the VM is suspended. */
-	readonly readSteady: () => number;
+	readonly readMonotonic: () => number;
 	/** The time of day, Unix milliseconds; it counts that time, and may step besides. */
-	readonly readTimeOfDay: () => number;
+	readonly readWallClock: () => number;
 	/** Time since the VM was started, milliseconds; it counts that time as well. */
 	readonly readUptime: () => number;
 	readonly log: (message: string) => void;
@@ -11,11 +11,11 @@
 /** Clocks that differ by less between two readings agree, milliseconds: they are read one after the other, and tick coarsely. */
 const toleranceMs = 200;
 /** The time since the VM's start is compared so often at least, milliseconds, in case a step of the time of day hides a suspension. */
-const compareMs = 1000;
+const compareIntervalMs = 1000;
 /** Comparisons that have to agree before a difference is believed: some machines tell the time since another start. */
-const leastAgreements = 3;
+const minimumAgreements = 3;
 /** A pair of readings that takes longer than this is not used, milliseconds: the process stood still between them. */
-const longestPairMs = 20;
+const maximumReadSpreadMs = 20;
 
 /**
  * The time that has passed for this process, with the time for which its VM was suspended, so that what it believes has become as old
@@ -23,11 +23,11 @@
  *
  * The time of day shows at once that there was a gap, and the time since the VM's start whether that was a suspension or a step.
  */
-export class SteadyClock {
+export class SuspendAwareClock {
 	private suspendedMs = 0;
 	/** How far the other clocks were ahead of the steady one when they were last read, milliseconds. */
-	private timeOfDayAheadMs: number | undefined;
-	private uptimeAheadMs: number | undefined;
+	private wallClockOffsetMs: number | undefined;
+	private uptimeOffsetMs: number | undefined;
 	private comparedAt = Number.NEGATIVE_INFINITY;
 	private agreements = 0;
 	private isUptimeTrusted = true;
@@ -36,36 +36,36 @@
 
 	/** Milliseconds, from a moment that differs between processes; a step of the time of day does not move it. */
 	read(): number {
-		const steady = this.options.readSteady();
-		const ahead = this.options.readTimeOfDay() - steady;
-		const hasJumped = Math.abs(ahead - (this.timeOfDayAheadMs ?? ahead)) > toleranceMs;
-		this.timeOfDayAheadMs = ahead;
-		if (this.isUptimeTrusted && (hasJumped || steady - this.comparedAt >= compareMs)) {
-			this.compare(steady);
+		const steady = this.options.readMonotonic();
+		const ahead = this.options.readWallClock() - steady;
+		const hasJumped = Math.abs(ahead - (this.wallClockOffsetMs ?? ahead)) > toleranceMs;
+		this.wallClockOffsetMs = ahead;
+		if (this.isUptimeTrusted && (hasJumped || steady - this.comparedAt >= compareIntervalMs)) {
+			this.compareWithUptime(steady);
 		}
 
 		return steady + this.suspendedMs;
 	}
 
-	private compare(steady: number): void {
-		const {readSteady, readUptime} = this.options;
+	private compareWithUptime(steady: number): void {
+		const {readMonotonic: readSteady, readUptime} = this.options;
 		const ahead = readUptime() - steady;
-		if (readSteady() - steady > longestPairMs) {
+		if (readSteady() - steady > maximumReadSpreadMs) {
 			return;
 		}
 
 		this.comparedAt = steady;
-		const gapMs = ahead - (this.uptimeAheadMs ?? ahead);
-		this.uptimeAheadMs = ahead;
+		const gapMs = ahead - (this.uptimeOffsetMs ?? ahead);
+		this.uptimeOffsetMs = ahead;
 		if (Math.abs(gapMs) <= toleranceMs) {
 			this.agreements++;
 		} else {
-			this.takeGap(gapMs);
+			this.handleGap(gapMs);
 		}
 	}
 
-	private takeGap(gapMs: number): void {
-		if (gapMs < 0 || this.agreements < leastAgreements) {
+	private handleGap(gapMs: number): void {
+		if (gapMs < 0 || this.agreements < minimumAgreements) {
 			this.isUptimeTrusted = false;
 			this.options.log('the time since the VM was started does not go on as the steady clock does, a suspension will not be noticed');
 			return;
--- a/src/entry/entry-controller.ts
+++ b/src/entry/entry-controller.ts
@@ -63,7 +63,7 @@
 		await this.readList();
 		this.tick();
 		this.timer = setInterval(() => {
-			this.options.metrics.measureControl(() => {
+			this.options.metrics.measureControlCpu(() => {
 				this.tick();
 			});
 		}, tickMs);
--- a/src/expert-balance/start-rank-process.ts
+++ b/src/expert-balance/start-rank-process.ts
@@ -6,7 +6,7 @@
 import {connectLink} from '../link/connect-link.js';
 import {listenLink} from '../link/listen-link.js';
 import {getLogger} from '../log/get-logger.js';
-import {makeViewGauges} from '../metrics/make-view-gauges.js';
+import {registerViewGauges} from '../metrics/register-view-gauges.js';
 import {RankMetrics} from '../metrics/rank-metrics.js';
 import {startAdminServer} from '../metrics/start-admin-server.js';
 import {type RankEngine} from './rank-engine.js';
@@ -59,7 +59,7 @@
 		},
 		log,
 	});
-	makeViewGauges(metrics.registry, () => tasks.view, surroundings.clock);
+	registerViewGauges(metrics.registry, () => tasks.view, surroundings.clock);
 	const listener = await listenLink({
 		...settings.link,
 		address,
--- a/src/forward/start-forward-entry.ts
+++ b/src/forward/start-forward-entry.ts
@@ -7,7 +7,7 @@
 import {getLogger} from '../log/get-logger.js';
 import {makeIncarnation} from '../membership/make-incarnation.js';
 import {ForwardMetrics} from '../metrics/forward-metrics.js';
-import {makeViewGauges} from '../metrics/make-view-gauges.js';
+import {registerViewGauges} from '../metrics/register-view-gauges.js';
 import {startAdminServer} from '../metrics/start-admin-server.js';
 import {describeEnd} from './describe-end.js';
 import {makeForwardFilter} from './filters/make-forward-filter.js';
@@ -133,7 +133,7 @@
 		},
 	});
 	const {view, fleet, mesh} = knowledge;
-	makeViewGauges(metrics.registry, () => view, clock);
+	registerViewGauges(metrics.registry, () => view, clock);
 	const getTable = () => knowledge.getTable(clock());
 	const server = new ForwardServer({
 		address,
@@ -148,7 +148,7 @@
 		],
 		onEnd(exchange, problem) {
 			const now = clock();
-			metrics.noteEnd(exchange, problem, now);
+			metrics.recordEnd(exchange, problem, now);
 			requestLog.info(describeEnd(exchange, problem, {era: view.asOf.era, viewAgeMs: view.getAge(now), now}));
 		},
 		log(message) {
@@ -205,8 +205,8 @@
 		const now = clock();
 		knowledge.tick(now);
 		path.tick();
-		metrics.resting.set(book.rests.size);
-		metrics.limited.set(book.limits.size);
+		metrics.cooldownTargets.set(book.rests.size);
+		metrics.rateLimitedTargets.set(book.limits.size);
 	}, tickMs);
 	entryLog.info(`started in ${availabilityZone}, callers at ${address}:${server.port}`);
 
--- a/src/log-search/parse-log-line.ts
+++ b/src/log-search/parse-log-line.ts
@@ -1,14 +1,14 @@
 import {z} from 'zod';
 import {type LogLine} from './log-line.js';
 
-const written = z.object({
+const rawLine = z.object({
 	context: z.object({part: z.string()}),
 	message: z.string(),
 	time: z.number(),
 });
 
 /* A time that a collector puts before each line changes from line to line, and names no process. */
-const withoutTimes = (prefix: string): string => prefix.split(' ').filter(word => word !== '' && !/^[\-\d.:TZ]+$/v.test(word)).join(' ');
+const removeTimes = (prefix: string): string => prefix.split(' ').filter(word => word !== '' && !/^[\-\d.:TZ]+$/v.test(word)).join(' ');
 
 /** Reads one line of a log; undefined when it is none of ours. */
 export function parseLogLine(text: string): LogLine | undefined {
@@ -18,10 +18,10 @@
 	}
 
 	try {
-		const parsed = written.safeParse(JSON.parse(text.slice(start)));
+		const parsed = rawLine.safeParse(JSON.parse(text.slice(start)));
 		return parsed.success
 			? {
-				source: withoutTimes(text.slice(0, start)), time: parsed.data.time, part: parsed.data.context.part, message: parsed.data.message,
+				source: removeTimes(text.slice(0, start)), time: parsed.data.time, part: parsed.data.context.part, message: parsed.data.message,
 			}
 			: undefined;
 	} catch {
--- a/src/log/log-writer.ts
+++ b/src/log/log-writer.ts
@@ -9,9 +9,9 @@
 };
 
 /** Lines that wait while the reader is slow, characters; beyond them lines are left out. */
-const mostPending = 256 * 1024;
+const maximumPendingCharacters = 256 * 1024;
 /** Time for which lines are collected into one write, milliseconds. */
-const collectMs = 50;
+const flushIntervalMs = 50;
 const secondMs = 1000;
 
 /** Writes log lines without ever waiting for their reader: bounded in rate and in what is kept, and says what it left out. */
@@ -22,7 +22,7 @@
 	private timer: NodeJS.Timeout | undefined;
 	private secondStart = 0;
 	private linesInSecond = 0;
-	private omitted = 0;
+	private droppedLines = 0;
 
 	constructor(private readonly options: WriterOptions) {}
 
@@ -32,22 +32,22 @@
 		if (now - this.secondStart >= secondMs) {
 			this.secondStart = now;
 			this.linesInSecond = 0;
-			this.reportOmitted();
+			this.reportDroppedLines();
 		}
 
 		this.linesInSecond++;
-		if (this.linesInSecond > this.options.linesPerSecond || this.pendingSize + line.length > mostPending) {
-			this.omitted++;
+		if (this.linesInSecond > this.options.linesPerSecond || this.pendingSize + line.length > maximumPendingCharacters) {
+			this.droppedLines++;
 			return;
 		}
 
-		this.push(line);
+		this.enqueue(line);
 	}
 
 	/** Writes what is left, at the process's end. */
-	finish(): void {
+	flushSync(): void {
 		clearTimeout(this.timer);
-		this.reportOmitted();
+		this.reportDroppedLines();
 		try {
 			writeSync(this.options.descriptor, this.pending.join(''));
 		} catch {
@@ -57,19 +57,19 @@
 		this.pending = [];
 	}
 
-	private push(line: string): void {
+	private enqueue(line: string): void {
 		this.pending.push(`${line}\n`);
 		this.pendingSize += line.length + 1;
 		this.timer ??= setTimeout(() => {
 			this.flush();
-		}, collectMs);
+		}, flushIntervalMs);
 		this.timer.unref();
 	}
 
-	private reportOmitted(): void {
-		if (this.omitted > 0) {
-			this.push(JSON.stringify({message: `log: ${this.omitted} lines left out`, context: {part: 'log'}}));
-			this.omitted = 0;
+	private reportDroppedLines(): void {
+		if (this.droppedLines > 0) {
+			this.enqueue(JSON.stringify({message: `log: ${this.droppedLines} lines left out`, context: {part: 'log'}}));
+			this.droppedLines = 0;
 		}
 	}
 
--- a/src/metrics/forward-metrics.ts
+++ b/src/metrics/forward-metrics.ts
@@ -31,19 +31,19 @@
 		registers: [this.registry],
 	});
 
-	readonly resting = new Gauge({
+	readonly cooldownTargets = new Gauge({
 		name: 'wardswitch_resting_targets',
 		help: 'Targets that have asked this process to send them nothing for a while, which is not over',
 		registers: [this.registry],
 	});
 
-	readonly limited = new Gauge({
+	readonly rateLimitedTargets = new Gauge({
 		name: 'wardswitch_limited_targets',
 		help: 'Targets that take so many requests a second only from all entries together',
 		registers: [this.registry],
 	});
 
-	readonly seconds = new Histogram({
+	readonly requestSeconds = new Histogram({
 		name: 'wardswitch_request_seconds',
 		help: 'Time from a request to the end of its answer, seconds',
 		labelNames: ['service'] as const,
@@ -58,10 +58,10 @@
 	});
 
 	/** Notes the end of a request. */
-	noteEnd(exchange: ForwardExchange, problem: Problem | undefined, now: number): void {
+	recordEnd(exchange: ForwardExchange, problem: Problem | undefined, now: number): void {
 		const {service, response, arrivedAt} = exchange;
 		const status = String(problem?.options.status ?? response.statusCode);
 		this.requests.inc({service, status, outcome: problem?.options.outcome ?? 'answered'});
-		this.seconds.observe({service}, (now - arrivedAt) / 1000);
+		this.requestSeconds.observe({service}, (now - arrivedAt) / 1000);
 	}
 }
--- a/src/metrics/process-metrics.ts
+++ b/src/metrics/process-metrics.ts
@@ -4,7 +4,7 @@
 } from 'prom-client';
 
 /** Time between two samples of the event loop's lag, milliseconds; the default of 10 alone costs 1% of a core. */
-const lagSampleMs = 500;
+const eventLoopSampleIntervalMs = 500;
 
 /** The metrics that every process of the system has, in one registry. */
 export class ProcessMetrics {
@@ -51,7 +51,7 @@
 		registers: [this.registry],
 	});
 
-	readonly firstPart = new Histogram({
+	readonly firstPartSeconds = new Histogram({
 		name: 'wardswitch_first_part_seconds',
 		help: 'Time from a request to the first part of its answer, seconds',
 		labelNames: ['service'] as const,
@@ -59,14 +59,14 @@
 		registers: [this.registry],
 	});
 
-	readonly controlSeconds = new Counter({
+	readonly controlCpuSeconds = new Counter({
 		name: 'wardswitch_control_cpu_seconds_total',
 		help: 'Processor time spent in control work (heartbeats, table, loans, reports), seconds',
 		registers: [this.registry],
 	});
 
 	constructor() {
-		collectDefaultMetrics({register: this.registry, eventLoopMonitoringPrecision: lagSampleMs});
+		collectDefaultMetrics({register: this.registry, eventLoopMonitoringPrecision: eventLoopSampleIntervalMs});
 	}
 
 	/** A meter for links that feeds `linkBytes`. */
@@ -75,11 +75,11 @@
 	};
 
 	/** Runs control work and counts its processor time. */
-	measureControl<Value>(work: () => Value): Value {
+	measureControlCpu<Value>(work: () => Value): Value {
 		const before = process.cpuUsage();
 		const value = work();
 		const spent = process.cpuUsage(before);
-		this.controlSeconds.inc((spent.user + spent.system) / 1_000_000);
+		this.controlCpuSeconds.inc((spent.user + spent.system) / 1_000_000);
 		return value;
 	}
 }
--- a/src/target/start-target.ts
+++ b/src/target/start-target.ts
@@ -210,7 +210,7 @@
 		requests.tick(clock());
 	}, tickMs);
 	const reporter = setInterval(() => {
-		metrics.measureControl(() => {
+		metrics.measureControlCpu(() => {
 			links.broadcast({type: 'load', load: describeLoad(), tableVersion});
 		});
 	}, reportMs);
--- a/stand-ins/engine/engine-group.ts
+++ b/stand-ins/engine/engine-group.ts
@@ -19,7 +19,7 @@
 	readonly records: StepRecord[] = [];
 	readonly ranks: RankState[];
 	/** Map that the engine starts with, and the loads it reports; scenarios set them. */
-	firstMap: number[][][];
+	initialMap: number[][][];
 	expertLoads: number[][] = [[1]];
 	private readonly listeners = new Set<() => void>();
 
@@ -28,7 +28,7 @@
 	 * @param checksFencing - whether an order with an old fencing number is refused
 	 */
 	constructor(size: number, readonly checksFencing: boolean) {
-		this.firstMap = [Array.from({length: size}, () => [0])];
+		this.initialMap = [Array.from({length: size}, () => [0])];
 		this.ranks = Array.from({length: size}, () => ({
 			epoch: 0, inUse: undefined, fence: 0, staged: undefined, holdStep: undefined, switchStep: undefined, isStalled: false,
 		}));
@@ -69,7 +69,7 @@
 	}
 
 	/** Takes an order for one rank; false when its fencing number is old and the engine checks it. */
-	isCurrent(rank: number, fence: number): boolean {
+	acceptFence(rank: number, fence: number): boolean {
 		const state = this.ranks[rank];
 		if (this.checksFencing && fence < state.fence) {
 			return false;
--- a/stand-ins/engine/engine.ts
+++ b/stand-ins/engine/engine.ts
@@ -5,8 +5,8 @@
 	readonly runs: Map<string, number>;
 	readonly active: Set<string>;
 	/** Requests that began, attempts counted one by one. */
-	total: number;
+	totalRequests: number;
 	/** While set, every answer is broken off before it begins. */
-	isBreaking: boolean;
+	isDroppingConnections: boolean;
 	close(): Promise<void>;
 };
--- a/stand-ins/engine/lockstep-group.ts
+++ b/stand-ins/engine/lockstep-group.ts
@@ -16,7 +16,7 @@
 	highestVersion: number;
 	chosen: number[][];
 };
-type LateOrder = {readonly at: number; readonly rank: number; readonly order: RankOrder};
+type DelayedOrder = {readonly at: number; readonly rank: number; readonly order: RankOrder};
 
 type GroupOptions = {
 	/** Name that ranks report; one is given where nobody asks. */
@@ -24,17 +24,17 @@
 	readonly shape: Shape;
 	readonly random: () => number;
 	/** Time of one pass, milliseconds. */
-	readonly passMs: number;
+	readonly stepMs: number;
 	/** Share of the orders that get no answer and are carried out 2 to 12 s later. */
-	lateShare: number;
+	delayedShare: number;
 	/** Share of the orders that are carried out and not answered. */
 	unansweredShare: number;
 };
 
 /** Time that copying experts takes, milliseconds. */
-const copyMs = 200;
-const leastLateMs = 2000;
-const lateSpreadMs = 10_000;
+const expertCopyMs = 200;
+const minimumDelayMs = 2000;
+const delaySpreadMs = 10_000;
 
 /** Ranks that run every pass together, each on its own map, with the orders of an engine that does not compare maps. */
 export class LockstepGroup {
@@ -49,61 +49,61 @@
 	switches = 0;
 	holds = 0;
 	private ranks: Rank[] = [];
-	private late: LateOrder[] = [];
-	private nextPassAt = 0;
+	private delayedOrders: DelayedOrder[] = [];
+	private nextStepAt = 0;
 	private lastVersion = 0;
 	private bornAt = 0;
 	/** How often each expert is chosen in a pass, by layer. */
 	private demand: number[][] = [];
 
 	constructor(readonly options: GroupOptions) {
-		this.shift();
-		this.form();
+		this.shiftDemand();
+		this.resetRanks();
 	}
 
 	/** Changes which experts are in demand. */
-	shift(): void {
+	shiftDemand(): void {
 		const {layers, experts} = this.options.shape;
 		this.demand = Array.from({length: layers}, () => Array.from({length: experts}, () => Math.round(1 + (100 * (this.options.random() ** 4)))));
 	}
 
 	/** Forms the group anew: the next epoch, the first map, nothing prepared, armed or held. */
-	reform(): void {
+	startNextEpoch(): void {
 		this.epoch++;
-		this.form();
+		this.resetRanks();
 	}
 
 	/** Starts all engines again: nothing of before is known, steps and epochs begin anew. */
-	restart(): void {
+	restartEngines(): void {
 		this.bornAt = this.now;
 		this.epoch = 1;
 		this.step = 0;
-		this.form();
+		this.resetRanks();
 	}
 
 	/** Moves time on: late orders are carried out, and passes begin unless the group is held. */
 	advance(now: number): void {
 		this.now = now;
-		for (const {rank, order} of this.late.filter(({at}) => at <= now)) {
-			this.carryOut(rank, order);
+		for (const {rank, order} of this.delayedOrders.filter(({at}) => at <= now)) {
+			this.execute(rank, order);
 		}
 
-		this.late = this.late.filter(({at}) => at > now);
-		if (now < this.nextPassAt) {
+		this.delayedOrders = this.delayedOrders.filter(({at}) => at > now);
+		if (now < this.nextStepAt) {
 			return;
 		}
 
 		if (this.ranks.some(({heldStep}) => heldStep !== undefined && heldStep <= this.step + 1)) {
-			this.longestHoldMs = Math.max(this.longestHoldMs, now - this.nextPassAt);
+			this.longestHoldMs = Math.max(this.longestHoldMs, now - this.nextStepAt);
 			return;
 		}
 
-		this.nextPassAt = now + this.options.passMs;
-		this.beginPass();
+		this.nextStepAt = now + this.options.stepMs;
+		this.beginStep();
 	}
 
 	/** The engine of one rank, as the process beside it sees it. */
-	open(rank: number): RankEngine {
+	openEngine(rank: number): RankEngine {
 		return {
 			readReport: async () => this.report(rank),
 			readCounts: async (): Promise<ExpertCounts> => ({
@@ -114,7 +114,7 @@
 		};
 	}
 
-	private form(): void {
+	private resetRanks(): void {
 		const {ranks, layers, experts} = this.options.shape;
 		this.ranks = Array.from({length: ranks}, (_empty, rank) => ({
 			map: {version: 0, experts: Array.from({length: layers}, () => Array.from({length: experts}, (_none, expert) => expert).filter(expert => expert % ranks === rank))},
@@ -127,7 +127,7 @@
 		}));
 	}
 
-	private beginPass(): void {
+	private beginStep(): void {
 		this.step++;
 		for (const rank of this.ranks) {
 			if (rank.armed?.step === this.step) {
@@ -164,7 +164,7 @@
 			isOpen: true,
 			step: this.step,
 			mapVersion: map.version,
-			preparedVersion: prepared && this.now - preparedAt >= copyMs ? prepared.version : undefined,
+			preparedVersion: prepared && this.now - preparedAt >= expertCopyMs ? prepared.version : undefined,
 			armed: armed && {...armed},
 			heldStep,
 			pace: 1,
@@ -172,17 +172,17 @@
 	}
 
 	private order(rank: number, order: RankOrder): RankOutcome {
-		const {random, lateShare, unansweredShare} = this.options;
-		if (random() < lateShare) {
-			this.late.push({at: this.now + leastLateMs + (random() * lateSpreadMs), rank, order});
+		const {random, delayedShare, unansweredShare} = this.options;
+		if (random() < delayedShare) {
+			this.delayedOrders.push({at: this.now + minimumDelayMs + (random() * delaySpreadMs), rank, order});
 			return 'unknown';
 		}
 
-		const outcome = this.carryOut(rank, order);
+		const outcome = this.execute(rank, order);
 		return random() < unansweredShare ? 'unknown' : outcome;
 	}
 
-	private carryOut(index: number, order: RankOrder): RankOutcome {
+	private execute(index: number, order: RankOrder): RankOutcome {
 		const rank = this.ranks[index];
 		if (order.epoch !== this.epoch) {
 			return 'refused';
@@ -194,7 +194,7 @@
 			}
 
 			case 'arm': {
-				const isPrepared = rank.prepared?.version === order.version && this.now - rank.preparedAt >= copyMs;
+				const isPrepared = rank.prepared?.version === order.version && this.now - rank.preparedAt >= expertCopyMs;
 				if (!isPrepared || order.step <= this.step) {
 					return 'refused';
 				}
--- a/stand-ins/engine/start-engine.ts
+++ b/stand-ins/engine/start-engine.ts
@@ -33,7 +33,7 @@
 	response.end(JSON.stringify(value));
 };
 
-const nextStep = async (group: EngineGroup): Promise<void> => new Promise(resolve => {
+const waitForNextStep = async (group: EngineGroup): Promise<void> => new Promise(resolve => {
 	const stop = group.subscribe(() => {
 		stop();
 		resolve();
@@ -50,7 +50,7 @@
 
 	for (const word of words) {
 		if (options.isPaced) {
-			await nextStep(options.group);
+			await waitForNextStep(options.group);
 		}
 
 		if (response.destroyed) {
@@ -71,8 +71,8 @@
 
 type MapOrder = {epoch: number; fence: number; step: number; map: number[][][]; decision: string};
 
-const takeMapOrder = (group: EngineGroup, index: number, path: string, order: MapOrder): boolean => {
-	if (!group.isCurrent(index, order.fence)) {
+const applyMapOrder = (group: EngineGroup, index: number, path: string, order: MapOrder): boolean => {
+	if (!group.acceptFence(index, order.fence)) {
 		return false;
 	}
 
@@ -116,7 +116,7 @@
 
 		if (path === '/expert-loads') {
 			const {epoch, inUse} = group.ranks[rank];
-			sendJson(response, 200, {epoch, map: inUse ?? group.firstMap, loads: group.expertLoads});
+			sendJson(response, 200, {epoch, map: inUse ?? group.initialMap, loads: group.expertLoads});
 			return;
 		}
 
@@ -130,15 +130,15 @@
 
 		const body = await readBody(request);
 		if (path.startsWith('/maps/')) {
-			const isTaken = takeMapOrder(group, rank, path, body as MapOrder);
+			const isTaken = applyMapOrder(group, rank, path, body as MapOrder);
 			sendJson(response, isTaken ? 200 : 409, {step: group.step});
 			return;
 		}
 
 		const id = String(request.headers['x-request-id'] ?? '');
 		runs.set(id, (runs.get(id) ?? 0) + 1);
-		engine.total++;
-		if (engine.isBreaking) {
+		engine.totalRequests++;
+		if (engine.isDroppingConnections) {
 			request.socket.destroy();
 			return;
 		}
@@ -161,8 +161,8 @@
 		port,
 		runs,
 		active,
-		total: 0,
-		isBreaking: false,
+		totalRequests: 0,
+		isDroppingConnections: false,
 		async close() {
 			server.close();
 			server.closeAllConnections();
--- a/stand-ins/forward/memory-store.ts
+++ b/stand-ins/forward/memory-store.ts
@@ -12,25 +12,25 @@
 type Copy = {readonly items: ReadonlyMap<string, Item>; readonly revision: number; readonly leases: ReadonlyMap<string, Lease>; readonly granted: number};
 
 /** Time beyond its wait after which a call that is not answered is given up on, milliseconds. */
-const patienceMs = 700;
+const clientTimeoutMarginMs = 700;
 
 /** A key-value service in memory, with changes and faults for each of the processes that use it. */
 export class MemoryStore {
 	/** Whether its answers tell that it has come back from a copy. */
-	tellsEra = true;
+	reportsEra = true;
 	/** Calls that each process has made. */
 	readonly calls = new Map<string, number>();
 	/** When calls that write have come in, milliseconds. */
-	readonly writtenAt: number[] = [];
+	readonly writeTimes: number[] = [];
 	private items = new Map<string, Item>();
 	private history: Change[] = [];
 	private revision = 0;
 	private era = 0;
-	private forgottenTo = 0;
+	private compactedTo = 0;
 	/** Calls that wait for changes: of which process, and from which revision they go on. */
-	private readonly waiting = new Map<() => void, {readonly process: string; readonly after: number}>();
+	private readonly waiters = new Map<() => void, {readonly process: string; readonly after: number}>();
 	/** Calls that wait and are never answered: those who made them give up on them later. */
-	private readonly unanswered = new Set<() => void>();
+	private readonly unansweredWaiters = new Set<() => void>();
 	private readonly faults = new Map<string, Fault>();
 	private leases = new Map<string, Lease>();
 	private granted = 0;
@@ -52,14 +52,14 @@
 			key, value: typeof value === 'string' ? value : JSON.stringify(value), revision: this.revision, lease,
 		};
 		this.items.set(key, item);
-		this.note(item);
+		this.recordChange(item);
 	}
 
 	/** Removes a key, as the service does when a lease lapses. */
 	remove(key: string): void {
 		if (this.items.delete(key)) {
 			this.revision++;
-			this.note({key, revision: this.revision, isRemoved: true});
+			this.recordChange({key, revision: this.revision, isRemoved: true});
 		}
 	}
 
@@ -71,8 +71,8 @@
 	/** Forgets the history of changes. */
 	compact(): void {
 		this.history = [];
-		this.forgottenTo = this.revision;
-		this.wake();
+		this.compactedTo = this.revision;
+		this.wakeWaiters();
 	}
 
 	/** Takes the copy that `goBack` returns to. */
@@ -87,25 +87,25 @@
 	 *
 	 * @param isSilent - whether calls that wait for changes stay as they are instead of being answered
 	 */
-	goBack(isSilent = false): void {
+	restoreCopy(isSilent = false): void {
 		const {items, revision, leases, granted} = this.copy!;
 		this.items = new Map(items);
 		this.revision = revision;
 		this.leases = new Map(leases);
 		this.granted = granted;
 		this.history = this.history.filter(change => change.revision <= revision);
-		this.forgottenTo = Math.min(this.forgottenTo, revision);
-		this.era += this.tellsEra ? 1 : 0;
+		this.compactedTo = Math.min(this.compactedTo, revision);
+		this.era += this.reportsEra ? 1 : 0;
 		if (!isSilent) {
-			this.wake();
+			this.wakeWaiters();
 		}
 	}
 
 	/** Has the calls that wait now never be answered, but for one process's, as on connections that have gone silent. */
-	silenceWaits(spared: string): void {
-		for (const [wake, {process}] of this.waiting) {
+	hangWaits(spared: string): void {
+		for (const [waiter, {process}] of this.waiters) {
 			if (process !== spared) {
-				this.unanswered.add(wake);
+				this.unansweredWaiters.add(waiter);
 			}
 		}
 	}
@@ -114,7 +114,7 @@
 	setFault(process: string, fault: Fault): void {
 		if (fault !== this.getFault(process)) {
 			this.faults.set(process, fault);
-			this.wake();
+			this.wakeWaiters();
 		}
 	}
 
@@ -124,7 +124,7 @@
 	}
 
 	/** Ends leases that were not renewed in time, and removes their keys. */
-	expire(): void {
+	expireLeases(): void {
 		const now = this.clock();
 		for (const [id, {endsAt}] of this.leases) {
 			if (endsAt <= now) {
@@ -137,7 +137,7 @@
 	}
 
 	/** The service as one process uses it. */
-	open(process: string): ChangeFeed & Registry {
+	createClient(process: string): ChangeFeed & Registry {
 		const fail = () => err(new PlatformError('the store does not answer', 'unknown'));
 		const isFaulty = () => this.getFault(process) !== 'none';
 		const count = () => {
@@ -158,7 +158,7 @@
 					return fail();
 				}
 
-				return after < this.forgottenTo || after > this.revision
+				return after < this.compactedTo || after > this.revision
 					? ok({kind: 'forgotten' as const, era: this.era})
 					: ok({
 						kind: 'changes' as const, era: this.era, asOf: this.revision, changes: this.history.filter(change => change.revision > after && change.key.startsWith(prefix)),
@@ -167,7 +167,7 @@
 			get: async key => isFaulty() ? fail() : ok(this.items.get(key)),
 			commit: async ({conditions, puts}) => {
 				count();
-				this.writtenAt.push(this.clock());
+				this.writeTimes.push(this.clock());
 				if (isFaulty()) {
 					return fail();
 				}
@@ -188,7 +188,7 @@
 			},
 			grantLeaseFor: async lifeMs => {
 				count();
-				this.writtenAt.push(this.clock());
+				this.writeTimes.push(this.clock());
 				if (isFaulty()) {
 					return fail();
 				}
@@ -213,19 +213,19 @@
 		};
 	}
 
-	private note(change: Change): void {
+	private recordChange(change: Change): void {
 		this.history.push(change);
-		for (const [wake, {after}] of this.waiting) {
-			if (this.revision > after && !this.unanswered.has(wake)) {
-				wake();
+		for (const [waiter, {after}] of this.waiters) {
+			if (this.revision > after && !this.unansweredWaiters.has(waiter)) {
+				waiter();
 			}
 		}
 	}
 
-	private wake(): void {
-		for (const wake of this.waiting.keys()) {
-			if (!this.unanswered.has(wake)) {
-				wake();
+	private wakeWaiters(): void {
+		for (const waiter of this.waiters.keys()) {
+			if (!this.unansweredWaiters.has(waiter)) {
+				waiter();
 			}
 		}
 	}
@@ -237,23 +237,23 @@
 		}
 
 		return new Promise<boolean>(resolve => {
-			const wake = (): void => {
+			const answerWaiter = (): void => {
 				clearTimeout(timer);
-				this.waiting.delete(wake);
+				this.waiters.delete(answerWaiter);
 				resolve(true);
 			};
 
 			const end = (): void => {
-				if (this.unanswered.delete(wake)) {
-					this.waiting.delete(wake);
-					setTimeout(resolve, patienceMs, false);
+				if (this.unansweredWaiters.delete(answerWaiter)) {
+					this.waiters.delete(answerWaiter);
+					setTimeout(resolve, clientTimeoutMarginMs, false);
 				} else {
-					wake();
+					answerWaiter();
 				}
 			};
 
 			const timer = setTimeout(end, waitMs);
-			this.waiting.set(wake, {process, after});
+			this.waiters.set(answerWaiter, {process, after});
 		});
 	}
 }
--- a/stand-ins/forward/start-http-target.ts
+++ b/stand-ins/forward/start-http-target.ts
@@ -7,16 +7,16 @@
 import {type HttpTarget} from './http-target.js';
 import {resetConnection} from './reset-connection.js';
 
-type Manner = HttpTarget['manners'][number];
+type Behaviour = HttpTarget['behaviours'][number];
 
-const events = 6;
+const eventsPerStream = 6;
 /** The answers that wait for `release`. */
-const releases = new Map<HttpTarget, () => void>();
+const slowAnswers = new Map<HttpTarget, () => void>();
 /** Connections that were dropped without a word: what comes next on them is reset and not run. */
-const forgotten = new WeakSet<object>();
+const resetOnNextRequest = new WeakSet<object>();
 
-const makeHead = ({marks}: HttpTarget, id: string, type: string): Record<string, string> => ({
-	'content-type': type, 'x-request': id, 'x-signed': '1', ...marks,
+const makeHeaders = ({extraHeaders}: HttpTarget, id: string, type: string): Record<string, string> => ({
+	'content-type': type, 'x-request': id, 'x-signed': '1', ...extraHeaders,
 });
 const makeRawHead = (id: string): string => `HTTP/1.1 200 OK\r\ncontent-type: text/plain\r\nx-request: ${id}\r\nx-signed: 1\r\n`;
 
@@ -32,15 +32,15 @@
 	const running: HttpTarget = {
 		target,
 		runs: [],
-		cuts: [],
-		manners: [],
+		abortedRequests: [],
+		behaviours: [],
 		arrivals: 0,
 		crashingPath: undefined,
 		hasCrashed: false,
 		refusal: undefined,
-		marks: {},
-		release() {
-			releases.get(running)?.();
+		extraHeaders: {},
+		releaseAnswer() {
+			slowAnswers.get(running)?.();
 		},
 		close() {
 			server.close();
@@ -62,7 +62,7 @@
 
 	const id = String(request.headers['x-request']);
 	running.arrivals++;
-	if (forgotten.has(request.socket)) {
+	if (resetOnNextRequest.has(request.socket)) {
 		resetConnection(request.socket);
 		return;
 	}
@@ -78,9 +78,9 @@
 		return;
 	}
 
-	const manner = running.manners.shift() ?? 'answer';
-	if (manner === 'refuse') {
-		response.writeHead(503, {'x-request': id, 'x-not-run': '1', ...running.marks}).end();
+	const behaviour = running.behaviours.shift() ?? 'answer';
+	if (behaviour === 'refuse') {
+		response.writeHead(503, {'x-request': id, 'x-not-run': '1', ...running.extraHeaders}).end();
 		return;
 	}
 
@@ -95,42 +95,42 @@
 
 	response.on('close', () => {
 		if (!response.writableFinished) {
-			running.cuts.push(id);
+			running.abortedRequests.push(id);
 		}
 	});
-	if (request.url!.includes('/stream/') && manner === 'slow') {
+	if (request.url!.includes('/stream/') && behaviour === 'slow') {
 		startSlowStream(running, id, response);
 	} else if (request.url!.includes('/stream/')) {
-		streamEvents(running, Number(request.headers['last-event-id'] ?? 0), id, response, manner);
+		streamEvents(running, Number(request.headers['last-event-id'] ?? 0), id, response, behaviour);
 	} else {
-		answer(running, id, response, manner);
+		answer(running, id, response, behaviour);
 	}
 }
 
-function answer(running: HttpTarget, id: string, response: ServerResponse, manner: Manner): void {
+function answer(running: HttpTarget, id: string, response: ServerResponse, behaviour: Behaviour): void {
 	const body = `answer of ${running.target.id} to ${id}`;
 	const socket = response.socket!;
-	switch (manner) {
+	switch (behaviour) {
 		case 'answer': {
-			response.writeHead(200, makeHead(running, id, 'text/plain')).end(body);
+			response.writeHead(200, makeHeaders(running, id, 'text/plain')).end(body);
 			break;
 		}
 
 		case 'forget': {
-			forgotten.add(socket);
-			response.writeHead(200, makeHead(running, id, 'text/plain')).end(body);
+			resetOnNextRequest.add(socket);
+			response.writeHead(200, makeHeaders(running, id, 'text/plain')).end(body);
 			break;
 		}
 
 		case 'slow': {
-			releases.set(running, () => {
-				response.writeHead(200, makeHead(running, id, 'text/plain')).end(body);
+			slowAnswers.set(running, () => {
+				response.writeHead(200, makeHeaders(running, id, 'text/plain')).end(body);
 			});
 			break;
 		}
 
 		case 'fail': {
-			response.writeHead(500, makeHead(running, id, 'text/plain')).end('failed');
+			response.writeHead(500, makeHeaders(running, id, 'text/plain')).end('failed');
 			break;
 		}
 
@@ -140,7 +140,7 @@
 		}
 
 		case 'wrong-id': {
-			response.writeHead(200, makeHead(running, 'another', 'text/plain')).end(body);
+			response.writeHead(200, makeHeaders(running, 'another', 'text/plain')).end(body);
 			break;
 		}
 
@@ -183,19 +183,19 @@
 	}
 }
 
-function streamEvents(running: HttpTarget, after: number, id: string, response: ServerResponse, manner: Manner): void {
-	if (manner === 'reset') {
+function streamEvents(running: HttpTarget, after: number, id: string, response: ServerResponse, behaviour: Behaviour): void {
+	if (behaviour === 'reset') {
 		resetConnection(response.socket!);
 		return;
 	}
 
-	if (manner === 'silent') {
+	if (behaviour === 'silent') {
 		return;
 	}
 
-	response.writeHead(200, makeHead(running, id, 'text/event-stream'));
-	for (let event = after + 1; event <= events; event++) {
-		if (manner === 'cut' && event === 4) {
+	response.writeHead(200, makeHeaders(running, id, 'text/event-stream'));
+	for (let event = after + 1; event <= eventsPerStream; event++) {
+		if (behaviour === 'cut' && event === 4) {
 			response.write(`id: ${event}\ndata: half of an ev`, () => {
 				setImmediate(() => response.destroy());
 			});
@@ -210,9 +210,9 @@
 
 /* Sends the first event, and the rest when it is released. */
 function startSlowStream(running: HttpTarget, id: string, response: ServerResponse): void {
-	response.writeHead(200, makeHead(running, id, 'text/event-stream'));
+	response.writeHead(200, makeHeaders(running, id, 'text/event-stream'));
 	response.write('id: 1\ndata: first\n\n');
-	releases.set(running, () => {
+	slowAnswers.set(running, () => {
 		response.end('id: 2\ndata: last\n\n');
 	});
 }
--- a/stand-ins/platform/key-value-store.ts
+++ b/stand-ins/platform/key-value-store.ts
@@ -44,15 +44,15 @@
 	}
 
 	/** Grants a lease that lapses `seconds` after `now` (milliseconds) unless it is kept. */
-	grant(seconds: number, now: number): string {
+	grantLease(seconds: number, now: number): string {
 		const id = String(this.nextLease++);
 		this.leases.set(id, {expiresAt: now + (seconds * 1000), seconds});
 		return id;
 	}
 
 	/** Renews a lease and gives its term in seconds, 0 when it has lapsed. */
-	keep(id: string, now: number): number {
-		this.expire(now);
+	renewLease(id: string, now: number): number {
+		this.expireLeases(now);
 		const lease = this.leases.get(id);
 		if (!lease) {
 			return 0;
@@ -63,7 +63,7 @@
 	}
 
 	/** Removes the keys of every lease that has lapsed. */
-	expire(now: number): void {
+	expireLeases(now: number): void {
 		for (const [id, lease] of this.leases) {
 			if (lease.expiresAt <= now) {
 				this.leases.delete(id);
@@ -75,8 +75,8 @@
 	}
 
 	/** Puts back an older state, as a platform restored from a copy would. */
-	restore(copy: string): void {
-		const saved = JSON.parse(copy) as {revision: number; pairs: Array<[string, Pair]>};
+	restore(snapshot: string): void {
+		const saved = JSON.parse(snapshot) as {revision: number; pairs: Array<[string, Pair]>};
 		this.pairs.clear();
 		for (const [key, pair] of saved.pairs) {
 			this.pairs.set(key, pair);
@@ -87,7 +87,7 @@
 	}
 
 	/** A copy of the state for `restore`. */
-	copy(): string {
+	takeSnapshot(): string {
 		return JSON.stringify({revision: this.revision, pairs: [...this.pairs]});
 	}
 
--- a/stand-ins/platform/start-key-value-service.ts
+++ b/stand-ins/platform/start-key-value-service.ts
@@ -66,7 +66,7 @@
 
 	const answer = (path: string, body: Body): unknown => {
 		const header = () => ({revision: String(store.revision)});
-		store.expire(now());
+		store.expireLeases(now());
 		switch (path) {
 			case '/v3/kv/range': {
 				return {kvs: store.range(body.key as string, body.range_end as string | undefined), header: header()};
@@ -78,11 +78,11 @@
 			}
 
 			case '/v3/lease/grant': {
-				return {ID: store.grant(Number(body.TTL), now()), TTL: body.TTL as string};
+				return {ID: store.grantLease(Number(body.TTL), now()), TTL: body.TTL as string};
 			}
 
 			default: {
-				return {result: {ID: body.ID as string, TTL: String(store.keep(body.ID as string, now()))}};
+				return {result: {ID: body.ID as string, TTL: String(store.renewLease(body.ID as string, now()))}};
 			}
 		}
 	};
--- a/stand-ins/service/plain-service.ts
+++ b/stand-ins/service/plain-service.ts
@@ -3,9 +3,9 @@
 	readonly url: string;
 	readonly runs: Map<string, number>;
 	/** Total requests that began. */
-	total: number;
+	totalRequests: number;
 	/** While set, requests run but their answers wait for `release`. */
-	isHolding: boolean;
-	release(): void;
+	isHoldingAnswers: boolean;
+	releaseAnswers(): void;
 	close(): Promise<void>;
 };
--- a/stand-ins/service/start-plain-service.ts
+++ b/stand-ins/service/start-plain-service.ts
@@ -14,15 +14,15 @@
 		request.on('end', () => {
 			const id = String(request.headers['x-request-id'] ?? '');
 			runs.set(id, (runs.get(id) ?? 0) + 1);
-			service.total++;
+			service.totalRequests++;
 			const answer = () => {
 				response.writeHead(200, {'content-type': 'application/json'});
 				response.end(JSON.stringify({
-					method: request.method, path: request.url, body: Buffer.concat(chunks).toString(), run: service.total,
+					method: request.method, path: request.url, body: Buffer.concat(chunks).toString(), run: service.totalRequests,
 				}));
 			};
 
-			if (service.isHolding) {
+			if (service.isHoldingAnswers) {
 				held.push(answer);
 			} else {
 				answer();
@@ -34,10 +34,10 @@
 	const service: PlainService = {
 		url: `http://127.0.0.1:${(server.address() as AddressInfo).port}`,
 		runs,
-		total: 0,
-		isHolding: false,
-		release() {
-			service.isHolding = false;
+		totalRequests: 0,
+		isHoldingAnswers: false,
+		releaseAnswers() {
+			service.isHoldingAnswers = false;
 			for (const answer of held.splice(0)) {
 				answer();
 			}
--- a/stand-ins/system/system.ts
+++ b/stand-ins/system/system.ts
@@ -24,7 +24,7 @@
 
 const linkKey = 'a1'.repeat(32);
 const platformTimeoutMs = 400;
-const listMs = 200;
+const vmListIntervalMs = 200;
 
 /** A whole system with its stand-ins in one process, on loopback: for the demonstration, scenarios and benchmarks. */
 export class System {
@@ -63,7 +63,7 @@
 		});
 		const entry = await startEntry(settings, clock, random);
 		this.entries.set(id, entry);
-		this.list({
+		this.addToVmList({
 			id, role: 'entry', availabilityZone, linkPort: entry.linkPort, adminPort: entry.adminPort,
 		});
 		return entry;
@@ -77,14 +77,14 @@
 
 	/** Waits until every entry is ready and has its links. */
 	async waitUntilReady(): Promise<void> {
-		await this.until('every entry is ready and linked', () => [...this.entries.values()].every(entry => {
+		await this.waitUntil('every entry is ready and linked', () => [...this.entries.values()].every(entry => {
 			const status = entry.getStatus() as {targets: Array<{isReady: boolean}>; entries: unknown[]};
 			return entry.isReady() && status.entries.length === this.entries.size - 1 && status.targets.length === this.targets.size && status.targets.every(target => target.isReady);
 		}));
 	}
 
 	/** Waits until a condition holds; fails loudly if it does not within a generous time. */
-	async until(what: string, condition: () => boolean | Promise<boolean>): Promise<void> {
+	async waitUntil(what: string, condition: () => boolean | Promise<boolean>): Promise<void> {
 		const patienceMs = 20_000;
 		const pollMs = 10;
 		for (let waitedMs = 0; waitedMs < patienceMs; waitedMs += pollMs) {
@@ -137,12 +137,12 @@
 		this.targets.set(id, {
 			id, zone, url: own.url, target, settings,
 		});
-		this.list({
+		this.addToVmList({
 			id, role: 'target', availabilityZone: zone, linkPort: target.linkPort, adminPort: target.adminPort, service: own.service, kind: own.kind, group: settings.group, rank: settings.rank,
 		});
 	}
 
-	private list(vm: Omit<VmListService['vms'][number], 'address' | 'region' | 'state'>): void {
+	private addToVmList(vm: Omit<VmListService['vms'][number], 'address' | 'region' | 'state'>): void {
 		const known = this.vmList.vms.findIndex(({id}) => id === vm.id);
 		if (known !== -1) {
 			this.vmList.vms.splice(known, 1);
@@ -160,7 +160,7 @@
 			linkPort: 0,
 			adminPort: 0,
 			platform: {
-				keyValue: this.platform.url, vmList: this.vmList.url, timeoutMs: platformTimeoutMs, vmListIntervalMs: listMs,
+				keyValue: this.platform.url, vmList: this.vmList.url, timeoutMs: platformTimeoutMs, vmListIntervalMs,
 			},
 			link: {key: linkKey},
 		};
