--- a/stand-ins/forward/memory-store.ts
+++ b/stand-ins/forward/memory-store.ts
@@ -33,6 +33,7 @@
 	private readonly unansweredWaiters = new Set<() => void>();
 	private readonly faults = new Map<string, Fault>();
 	private leases = new Map<string, Lease>();
+	/** Number of granted leases; the latest lease's id. */
 	private granted = 0;
 	private copy: Copy | undefined;
 
@@ -41,6 +42,7 @@
 	 */
 	constructor(private readonly clock = () => 0) {}
 
+	/** Revision of the latest write. */
 	get lastRevision(): number {
 		return this.revision;
 	}
