--- a/features/steps/crash-steps.ts
+++ b/features/steps/crash-steps.ts
@@ -125,13 +125,13 @@
 
 Given('all targets close each connection during the answer', function (this: SystemWorld) {
 	for (const target of listTargets(this)) {
-		target.manners.shift = () => 'cut';
+		target.behaviours.shift = () => 'cut';
 	}
 });
 
 When('targets answer again', function (this: SystemWorld) {
 	for (const target of listTargets(this)) {
-		target.manners.shift = () => 'answer';
+		target.behaviours.shift = () => 'answer';
 	}
 });
 
--- a/features/steps/expert-balance-steps.ts
+++ b/features/steps/expert-balance-steps.ts
@@ -11,12 +11,12 @@
 const waitTimeoutMs = 10_000;
 
 const isHeld = async (harness: GroupHarness): Promise<boolean> => {
-	const reports = await Promise.all([0, 1, 2, 3].map(async rank => harness.group.open(rank).readReport()));
+	const reports = await Promise.all([0, 1, 2, 3].map(async rank => harness.group.openEngine(rank).readReport()));
 	return reports.some(({heldStep}) => heldStep !== undefined);
 };
 
 const isArmed = async (harness: GroupHarness): Promise<boolean> => {
-	const reports = await Promise.all([0, 1, 2, 3].map(async rank => harness.group.open(rank).readReport()));
+	const reports = await Promise.all([0, 1, 2, 3].map(async rank => harness.group.openEngine(rank).readReport()));
 	return reports.some(({armed}) => armed !== undefined);
 };
 
@@ -32,7 +32,7 @@
 	const harness = new GroupHarness(seed);
 	const {random, group} = harness;
 	harness.followAll(harness.startPlanner(0));
-	group.options.lateShare = random() * 0.4;
+	group.options.delayedShare = random() * 0.4;
 	group.options.unansweredShare = random() * 0.3;
 	harness.lossShare = random() * 0.2;
 	harness.hasEntry = random() < 0.5;
@@ -40,7 +40,7 @@
 		const rank = Math.floor(random() * 4);
 		const draw = random();
 		if (draw < 0.01) {
-			group.shift();
+			group.shiftDemand();
 		} else if (draw < 0.014) {
 			harness.restartAgent(rank);
 		} else if (draw < 0.018) {
@@ -58,10 +58,10 @@
 		} else if (draw < 0.08) {
 			harness.planners[Math.floor(random() * harness.planners.length)].isSuspended = false;
 		} else if (draw < 0.0815) {
-			group.reform();
+			group.startNextEpoch();
 		}
 	});
-	group.options.lateShare = 0;
+	group.options.delayedShare = 0;
 	group.options.unansweredShare = 0;
 	harness.lossShare = 0;
 	harness.suspended.clear();
@@ -94,7 +94,7 @@
 });
 
 Given('half of the orders are not answered and take effect late', function (this: SystemWorld) {
-	getHarness(this).group.options.lateShare = 0.5;
+	getHarness(this).group.options.delayedShare = 0.5;
 });
 
 When('{int} second(s) pass(es)', async function (this: SystemWorld, seconds: number) {
@@ -104,7 +104,7 @@
 When('{int} seconds pass with a shift of demand every {int} seconds', async function (this: SystemWorld, seconds: number, each: number) {
 	const harness = getHarness(this);
 	for (let passed = 0; passed < seconds; passed += each) {
-		harness.group.shift();
+		harness.group.shiftDemand();
 		await harness.run(each * 1000);
 	}
 });
@@ -253,10 +253,10 @@
 });
 
 When('all of its engines restart', function (this: SystemWorld) {
-	getHarness(this).group.restart();
+	getHarness(this).group.restartEngines();
 });
 
 Then('the group no longer uses its initial map', async function (this: SystemWorld) {
-	const {mapVersion} = await getHarness(this).group.open(0).readReport();
+	const {mapVersion} = await getHarness(this).group.openEngine(0).readReport();
 	assert.ok(mapVersion > 0, getHarness(this).log.join('\n'));
 });
--- a/features/steps/expert-plan-steps.ts
+++ b/features/steps/expert-plan-steps.ts
@@ -116,7 +116,7 @@
 When('the group is re-formed', function (this: SystemWorld) {
 	const harness = this.notes.get('harness') as GroupHarness;
 	this.notes.set('lines', harness.log.length);
-	harness.group.reform();
+	harness.group.startNextEpoch();
 });
 
 When('the group runs for {int} ms', async function (this: SystemWorld, ms: number) {
--- a/features/support/store-simulation.ts
+++ b/features/support/store-simulation.ts
@@ -87,7 +87,7 @@
 	start(id: string): void {
 		const address = `10.0.0.${id}:1`;
 		const seeds = [...this.entries.values()].slice(0, 3).map(entry => entry.address);
-		const store = makeUnreliableStore(this.store.open(id), {
+		const store = makeUnreliableStore(this.store.createClient(id), {
 			onCall: () => {
 				this.countCall(id);
 			},
@@ -192,7 +192,7 @@
 			await this.advance(awayMs);
 		}
 
-		this.store.goBack(isSilent);
+		this.store.restoreCopy(isSilent);
 		this.setFault('none');
 		await this.advance(rewriteMs);
 		this.rewriteLostKeys();
@@ -230,7 +230,7 @@
 			await yieldTurn();
 			this.runScheduled();
 			if (this.now % tickMs === 0) {
-				this.store.expire();
+				this.store.expireLeases();
 			}
 
 			for (const entry of this.entries.values()) {
--- a/scripts/mix-drills.js
+++ b/scripts/mix-drills.js
@@ -1,7 +1,7 @@
-/* Runs the store simulation with random restores and faults for a range of seeds: `node scripts/mix-drills.js FIRST LAST`, after a build. */
+/* Mixes drills of the store with other trouble for a range of seeds: `node scripts/mix-drills.js FIRST LAST`, after a build. */
 import process from 'node:process';
-import {StoreSimulation} from '../dist/features/support/store-simulation.js';
-import {injectRandomFaults} from '../dist/features/support/inject-random-faults.js';
+import {StoreCrowd} from '../dist/features/support/store-crowd.js';
+import {stirStore} from '../dist/features/support/stir-store.js';
 
 const entries = 6;
 const targets = 4;
@@ -10,22 +10,22 @@
 const startMs = 50;
 
 const mix = async seed => {
-	const simulation = new StoreSimulation(1);
-	simulation.configure();
+	const crowd = new StoreCrowd(1);
+	crowd.configure();
 	for (let number = 1; number <= targets; number++) {
-		simulation.register(`target-${number}`);
+		crowd.register(`target-${number}`);
 	}
 
 	for (let number = 1; number <= entries; number++) {
-		simulation.start(String(number));
-		await simulation.advance(startMs);
+		crowd.start(String(number));
+		await crowd.pass(startMs);
 	}
 
-	await simulation.advance(settleMs);
-	simulation.store.takeCopy();
-	await injectRandomFaults(simulation, seed, mixtureMs);
-	simulation.close();
-	return simulation.violations;
+	await crowd.pass(settleMs);
+	crowd.store.takeCopy();
+	await stirStore(crowd, seed, mixtureMs);
+	crowd.close();
+	return crowd.faults;
 };
 
 const [first, last] = process.argv.slice(2).map(Number);
@@ -35,10 +35,10 @@
 
 let failed = 0;
 for (let seed = first; seed <= last; seed++) {
-	const violations = await mix(seed);
-	if (violations.length > 0) {
+	const faults = await mix(seed);
+	if (faults.length > 0) {
 		failed++;
-		console.log(`seed ${seed}: ${violations[0]}`);
+		console.log(`seed ${seed}: ${faults[0]}`);
 	}
 }
 
--- a/src/bin/wardswitch-entry.ts
+++ b/src/bin/wardswitch-entry.ts
@@ -1,5 +1,5 @@
 #!/usr/bin/env node
-/* eslint-disable import-x/order, import-x/no-unassigned-import -- the log must be on before anything loads it */
+/* eslint-disable import-x/order, import-x/no-unassigned-import -- logging must be enabled before any module loads the logger */
 import '../log/enable-log.js';
 import process from 'node:process';
 import {EntrySettings} from '../config/entry-settings.js';
@@ -10,6 +10,6 @@
 
 await runProcess({
 	name: 'wardswitch-entry',
-	read: file => readSettings(file, EntrySettings),
+	readFile: file => readSettings(file, EntrySettings),
 	start: async settings => startEntry(settings, readClock, Math.random),
 }, process.argv.slice(2));
--- a/src/config/read-monotonic-clock.ts
+++ b/src/config/read-monotonic-clock.ts
@@ -1,19 +1,22 @@
 import {uptime} from 'node:os';
 import {performance} from 'node:perf_hooks';
 import {getLogger} from '../log/get-logger.js';
-import {SteadyClock} from './steady-clock.js';
+import {SuspendAwareClock} from './suspend-aware-clock.js';
 
 const logger = getLogger('clock');
-const clock = new SteadyClock({
-	readSteady: () => performance.now(),
-	readTimeOfDay: () => Date.now(),
+const clock = new SuspendAwareClock({
+	readMonotonic: () => performance.now(),
+	readWallClock: () => Date.now(),
 	readUptime: () => uptime() * 1000,
 	log(message) {
 		logger.info(message);
 	},
 });
 
-/** Milliseconds since the process started; a step of the time of day does not move it. */
+/**
+ * Returns the milliseconds since the process started, including time for which the VM was suspended; steps of the wall clock
+ * have no effect.
+ */
 export function readMonotonicClock(): number {
 	return clock.read();
 }
--- a/src/forward/start-forward-entry.ts
+++ b/src/forward/start-forward-entry.ts
@@ -7,7 +7,7 @@
 import {getLogger} from '../log/get-logger.js';
 import {makeIncarnation} from '../membership/make-incarnation.js';
 import {ForwardMetrics} from '../metrics/forward-metrics.js';
-import {makeViewGauges} from '../metrics/make-view-gauges.js';
+import {registerViewGauges} from '../metrics/register-view-gauges.js';
 import {startAdminServer} from '../metrics/start-admin-server.js';
 import {describeRequest} from './describe-request.js';
 import {makeForwardFilter} from './filters/make-forward-filter.js';
@@ -138,7 +138,7 @@
 		},
 	});
 	const {view, fleet, mesh} = entryState;
-	makeViewGauges(metrics.registry, () => view, clock);
+	registerViewGauges(metrics.registry, () => view, clock);
 	const getTable = () => entryState.getTable(clock());
 	const server = new ForwardServer({
 		address,
@@ -153,7 +153,7 @@
 		],
 		onEnd(exchange, problem) {
 			const now = clock();
-			metrics.noteEnd(exchange, problem, now);
+			metrics.recordEnd(exchange, problem, now);
 			requestLog.info(describeRequest(exchange, problem, {era: view.asOf.era, viewAgeMs: view.getAge(now), now}));
 		},
 		log(message) {
@@ -210,8 +210,8 @@
 		const now = clock();
 		entryState.tick(now);
 		pipeline.tick();
-		metrics.resting.set(tracker.rests.size);
-		metrics.limited.set(tracker.limits.size);
+		metrics.cooldownTargets.set(tracker.rests.size);
+		metrics.rateLimitedTargets.set(tracker.limits.size);
 	}, tickMs);
 	entryLog.info(`started in ${availabilityZone}, listening for callers on ${address}:${server.port}`);
 
--- a/stand-ins/engine/start-engine.ts
+++ b/stand-ins/engine/start-engine.ts
@@ -7,13 +7,12 @@
 
 type ChatBody = {stream?: boolean; max_tokens?: number; messages?: Array<{content: string}>; prompt?: string};
 
-/** Knobs of a stand-in engine. */
 type EngineOptions = {
 	readonly group: EngineGroup;
 	readonly rank: number;
-	/** Tokens in an answer when the request names none. */
+	/** Tokens in an answer if the request sets no `max_tokens`. */
 	readonly defaultTokens: number;
-	/** Whether an answer waits for steps of the group (a token a step) or is written at once. */
+	/** Whether an answer is written at one token per step of the group, or all at once. */
 	readonly isPaced: boolean;
 	readonly port?: number;
 };
@@ -33,7 +32,7 @@
 	response.end(JSON.stringify(value));
 };
 
-const nextStep = async (group: EngineGroup): Promise<void> => new Promise(resolve => {
+const waitForNextStep = async (group: EngineGroup): Promise<void> => new Promise(resolve => {
 	const stop = group.subscribe(() => {
 		stop();
 		resolve();
@@ -50,7 +49,7 @@
 
 	for (const word of words) {
 		if (options.isPaced) {
-			await nextStep(options.group);
+			await waitForNextStep(options.group);
 		}
 
 		if (response.destroyed) {
@@ -71,8 +70,8 @@
 
 type MapOrder = {epoch: number; fence: number; step: number; map: number[][][]; decision: string};
 
-const takeMapOrder = (group: EngineGroup, index: number, path: string, order: MapOrder): boolean => {
-	if (!group.isCurrent(index, order.fence)) {
+const applyMapOrder = (group: EngineGroup, index: number, path: string, order: MapOrder): boolean => {
+	if (!group.acceptFence(index, order.fence)) {
 		return false;
 	}
 
@@ -101,7 +100,7 @@
 	}
 };
 
-/** Starts one rank of a stand-in engine on loopback: the OpenAI HTTP shape with SSE, load, and orders for expert maps. */
+/** Starts one rank of a stand-in engine on loopback: OpenAI-compatible HTTP API with SSE, load reports, and orders for expert maps. */
 export async function startEngine(options: EngineOptions): Promise<Engine> {
 	const runs = new Map<string, number>();
 	const active = new Set<string>();
@@ -116,7 +115,7 @@
 
 		if (path === '/expert-loads') {
 			const {epoch, inUse} = group.ranks[rank];
-			sendJson(response, 200, {epoch, map: inUse ?? group.firstMap, loads: group.expertLoads});
+			sendJson(response, 200, {epoch, map: inUse ?? group.initialMap, loads: group.expertLoads});
 			return;
 		}
 
@@ -130,15 +129,15 @@
 
 		const body = await readBody(request);
 		if (path.startsWith('/maps/')) {
-			const isTaken = takeMapOrder(group, rank, path, body as MapOrder);
-			sendJson(response, isTaken ? 200 : 409, {step: group.step});
+			const isAccepted = applyMapOrder(group, rank, path, body as MapOrder);
+			sendJson(response, isAccepted ? 200 : 409, {step: group.step});
 			return;
 		}
 
 		const id = String(request.headers['x-request-id'] ?? '');
 		runs.set(id, (runs.get(id) ?? 0) + 1);
-		engine.total++;
-		if (engine.isBreaking) {
+		engine.totalRequests++;
+		if (engine.isDroppingConnections) {
 			request.socket.destroy();
 			return;
 		}
@@ -161,8 +160,8 @@
 		port,
 		runs,
 		active,
-		total: 0,
-		isBreaking: false,
+		totalRequests: 0,
+		isDroppingConnections: false,
 		async close() {
 			server.close();
 			server.closeAllConnections();
