--- a/features/steps/admission-steps.ts
+++ b/features/steps/admission-steps.ts
@@ -153,7 +153,7 @@
 };
 
 Given('an entry that has measured pauses of {int} ms, with {int} streams at each of {int} targets', function (this: SystemWorld, gapMs: number, streams: number, targets: number) {
-	const board = new InFlightCounts();
+	const inFlightCounts = new InFlightCounts();
 	const directory = new TargetDirectory();
 	const list = Array.from({length: targets}, (_target, index) => Target.parse({
 		id: `t${index}`, service: 'desk', address: '10.0.0.1', port: 1000 + index, availabilityZone: 'a', slots: 8, isLeaving: false,
@@ -161,13 +161,13 @@
 	directory.replace(list, 0, false);
 	for (const {id} of list) {
 		for (let stream = 0; stream < streams; stream++) {
-			board.noteStart(id, 0);
+			inFlightCounts.noteStart(id, 0);
 		}
 	}
 
 	const refusing = new Set<string>();
 	const admission = new StreamAdmission({
-		board, listAvailable: service => directory.list(service), isHealthy: ({id}) => !refusing.has(id), getService: name => ({name, maximumConnections: 100, pace}),
+		inFlightCounts, listAvailable: service => directory.list(service), isHealthy: ({id}) => !refusing.has(id), getService: name => ({name, maximumConnections: 100, pace}),
 	});
 	for (let now = 0; now < 2000; now += gapMs) {
 		admission.noteGap(list[0], gapMs);
@@ -175,7 +175,7 @@
 	}
 
 	this.notes.set('entry', {
-		board, admission, list, refusing,
+		inFlightCounts, admission, list, refusing,
 	});
 });
 
@@ -187,13 +187,13 @@
 });
 
 When('a peer has {int} more streams at each of {int} others', function (this: SystemWorld, streams: number, count: number) {
-	const {board, list} = this.notes.get('entry') as {board: InFlightCounts; list: readonly Target[]};
-	board.merge('peer', Object.fromEntries(list.slice(-count).map(({id}) => [id, streams])), 2000);
+	const {inFlightCounts, list} = this.notes.get('entry') as {inFlightCounts: InFlightCounts; list: readonly Target[]};
+	inFlightCounts.merge('peer', Object.fromEntries(list.slice(-count).map(({id}) => [id, streams])), 2000);
 });
 
 Given('a peer with {int} more streams at each target', function (this: SystemWorld, streams: number) {
-	const {board, list} = this.notes.get('entry') as {board: InFlightCounts; list: readonly Target[]};
-	board.merge('peer', Object.fromEntries(list.map(({id}) => [id, streams])), 2000);
+	const {inFlightCounts, list} = this.notes.get('entry') as {inFlightCounts: InFlightCounts; list: readonly Target[]};
+	inFlightCounts.merge('peer', Object.fromEntries(list.map(({id}) => [id, streams])), 2000);
 });
 
 Then('a request for {string} is {string}', function (this: SystemWorld, what: string, answer: string) {
@@ -211,19 +211,19 @@
 });
 
 Given('an entry that has measured pauses of {int} ms in one group of {int} targets and of {int} ms in another', function (this: SystemWorld, evenMs: number, targets: number, unevenMs: number) {
-	const board = new InFlightCounts();
+	const inFlightCounts = new InFlightCounts();
 	const directory = new TargetDirectory();
 	const list = ['even', 'uneven'].flatMap((group, half) => Array.from({length: targets}, (_target, index) => Target.parse({
 		id: `${group}-${index}`, service: 'desk', group, address: '10.0.0.1', port: 1000 + (half * targets) + index, availabilityZone: 'a', slots: 8, isLeaving: false,
 	})));
 	directory.replace(list, 0, false);
 	for (const {id} of list) {
-		board.noteStart(id, 0);
-		board.noteStart(id, 0);
+		inFlightCounts.noteStart(id, 0);
+		inFlightCounts.noteStart(id, 0);
 	}
 
 	const admission = new StreamAdmission({
-		board, listAvailable: service => directory.list(service), isHealthy: () => true, getService: name => ({name, maximumConnections: 100, pace}),
+		inFlightCounts, listAvailable: service => directory.list(service), isHealthy: () => true, getService: name => ({name, maximumConnections: 100, pace}),
 	});
 	for (let now = 0; now < 2000; now += tickMs) {
 		admission.noteGap(list[0], evenMs);
@@ -231,7 +231,7 @@
 		admission.tick(now);
 	}
 
-	this.notes.set('entry', {board, admission, list});
+	this.notes.set('entry', {inFlightCounts, admission, list});
 });
 
 Then('a stream may go to targets of the {word} group only', function (this: SystemWorld, group: string) {
--- a/features/steps/item-guard-steps.ts
+++ b/features/steps/item-comparator-steps.ts
@@ -2,7 +2,7 @@
 import {Given, Then, When} from '@cucumber/cucumber';
 import {err, ok} from 'neverthrow';
 import {TargetDirectory} from '../../src/fleet/target-directory.js';
-import {makeItemGuard} from '../../src/forward/make-item-guard.js';
+import {makeItemComparator} from '../../src/forward/make-item-comparator.js';
 import {PlatformError} from '../../src/key-value/platform-error.js';
 import {type StoredValue} from '../../src/key-value/stored-value.js';
 import {StoreView} from '../../src/view/store-view.js';
@@ -33,7 +33,7 @@
 			poll: async () => noAnswer,
 		},
 		prefix: '',
-		comparator: makeItemGuard(plainSource),
+		comparator: makeItemComparator(plainSource),
 		waitMs: 1,
 		maximumBackoffMs: 1,
 		clock: () => 0,
--- a/features/steps/limit-steps.ts
+++ b/features/steps/limit-steps.ts
@@ -129,7 +129,7 @@
 });
 
 Given('target {int} announces a limit of {string} in its answers', function (this: SystemWorld, number: number, limit: string) {
-	getTarget(this, number).marks = {'x-limit': limit};
+	getTarget(this, number).extraHeaders = {'x-limit': limit};
 });
 
 When('callers send {string} {int} times, to the entries in turn', async function (this: SystemWorld, request: string, count: number) {
@@ -260,7 +260,7 @@
 
 Given('each target but {int} announces a limit of {string} in its answers', function (this: SystemWorld, number: number, limit: string) {
 	for (const target of getSystem(this).targets.values()) {
-		target.marks = target.target.id === `target-${number}` ? {} : {'x-limit': limit};
+		target.extraHeaders = target.target.id === `target-${number}` ? {} : {'x-limit': limit};
 	}
 });
 
--- a/features/steps/rest-steps.ts
+++ b/features/steps/rest-steps.ts
@@ -44,7 +44,7 @@
 });
 
 Given('target {int} announces in its answers that it is leaving', function (this: SystemWorld, number: number) {
-	getTarget(this, number).marks = {'x-leaving': '1'};
+	getTarget(this, number).extraHeaders = {'x-leaving': '1'};
 });
 
 Given('target {int} answers {string} first', function (this: SystemWorld, number: number, manner: HttpTarget['manners'][number]) {
@@ -52,7 +52,7 @@
 });
 
 When('target {int} no longer announces it', function (this: SystemWorld, number: number) {
-	getTarget(this, number).marks = {};
+	getTarget(this, number).extraHeaders = {};
 });
 
 When('target {int} is registered again unchanged', async function (this: SystemWorld, number: number) {
@@ -61,7 +61,7 @@
 
 When('target {int} restarts under its id', async function (this: SystemWorld, number: number) {
 	const target = getTarget(this, number);
-	target.marks = {};
+	target.extraHeaders = {};
 	target.refusal = undefined;
 	await register(this, number, {bornAt: 2});
 });
--- a/features/steps/stall-steps.ts
+++ b/features/steps/stall-steps.ts
@@ -46,9 +46,9 @@
 	timesStopped = 0;
 	readonly aborts: AbortController[] = [];
 	readonly waitingForCaller: boolean[] = [];
-	private readonly board = new InFlightCounts();
+	private readonly inFlightCounts = new InFlightCounts();
 	private readonly detector = new StallDetector({
-		board: this.board,
+		inFlightCounts: this.inFlightCounts,
 		health: new TargetHealth(),
 		clock: () => this.now,
 		log() {
@@ -69,13 +69,13 @@
 			const abort = new AbortController();
 			this.aborts.push(abort);
 			this.waitingForCaller.push(false);
-			this.board.noteStart(target.id, this.now);
+			this.inFlightCounts.noteStart(target.id, this.now);
 			this.watches.push(this.detector.watch({target, abort, isWaitingForCaller: () => this.waitingForCaller[index]}));
 		}
 	}
 
 	progress(index: number): void {
-		this.board.noteProgress(target.id, this.now);
+		this.inFlightCounts.noteProgress(target.id, this.now);
 		this.watches[index].noteProgress();
 	}
 
@@ -161,16 +161,16 @@
 });
 
 Given('a service that has been down for {int} ms', function (this: SystemWorld, ms: number) {
-	const gate = new ServiceBreaker(String);
-	gate.noteDown(route.destinations[0].service, -ms, 'as the scenario says');
-	this.notes.set('gate', gate);
+	const serviceBreaker = new ServiceBreaker(String);
+	serviceBreaker.noteDown(route.destinations[0].service, -ms, 'as the scenario says');
+	this.notes.set('serviceBreaker', serviceBreaker);
 });
 
 /* Sends a request of a caller that has 5 of 8 seconds left, and notes its result and the targets it was sent to. */
 const dispatch = async (world: SystemWorld, hasDisconnected: boolean, targets: readonly Target[] = [target]): Promise<void> => {
 	const sent: string[] = [];
 	const clock = (): number => 0;
-	const board = new InFlightCounts();
+	const inFlightCounts = new InFlightCounts();
 	const tracker = new TargetTracker({
 		electEntry: () => '',
 		address: '', listPeers: () => [], countRegistered: () => 1, sendToPeer: () => false, clock, countInFlight: () => 0, onRefusal: String, onLeave: String, log: String,
@@ -186,14 +186,14 @@
 		crashes: new CrashDetector({
 			check: async () => 'listens', health, isElected: () => true, onCrashFound: String, clock, log: String,
 		}),
-		board,
-		gate: world.notes.get('gate') as ServiceBreaker,
+		inFlightCounts,
+		serviceBreaker: world.notes.get('serviceBreaker') as ServiceBreaker,
 		probes: new ProbeBudget(),
-		budget: new SharedRetryBudget({
+		retryBudget: new SharedRetryBudget({
 			ratio: 0.2, slack: 90, windowMs: 10_000, countEntries: () => 1,
 		}),
 		stalls: new StallDetector({
-			board,
+			inFlightCounts,
 			health,
 			clock,
 			log: String,
@@ -201,7 +201,7 @@
 			onStopped: String,
 		}),
 		admission: new StreamAdmission({
-			board, listAvailable: service => directory.list(service), isHealthy: () => true, getService: () => undefined,
+			inFlightCounts, listAvailable: service => directory.list(service), isHealthy: () => true, getService: () => undefined,
 		}),
 		availabilityZone: 'a',
 		clock,
@@ -248,15 +248,15 @@
 });
 
 When('one request has been admitted as a probe', function (this: SystemWorld) {
-	assert.ok((this.notes.get('gate') as ServiceBreaker).admit(target.service, 0));
+	assert.ok((this.notes.get('serviceBreaker') as ServiceBreaker).admit(target.service, 0));
 });
 
 When('the first has reached a target that is gone', function (this: SystemWorld) {
-	(this.notes.get('gate') as ServiceBreaker).allowNextProbe(target.service, 1);
+	(this.notes.get('serviceBreaker') as ServiceBreaker).allowNextProbe(target.service, 1);
 });
 
 Then('the next {word} admitted', function (this: SystemWorld, verb: string) {
-	assert.equal((this.notes.get('gate') as ServiceBreaker).admit(target.service, 1), verb === 'is');
+	assert.equal((this.notes.get('serviceBreaker') as ServiceBreaker).admit(target.service, 1), verb === 'is');
 });
 
 const members = (group: string): Target[] => [1, 2].map(number => ({
@@ -264,18 +264,18 @@
 }));
 
 Given('a service of two groups, the first of which has stopped {int} ms ago', function (this: SystemWorld, ms: number) {
-	const gate = new ServiceBreaker(String);
-	gate.noteDown(getFailureDomain(members('first')[0]), -ms, 'as the scenario says');
-	this.notes.set('gate', gate);
+	const serviceBreaker = new ServiceBreaker(String);
+	serviceBreaker.noteDown(getFailureDomain(members('first')[0]), -ms, 'as the scenario says');
+	this.notes.set('serviceBreaker', serviceBreaker);
 	this.notes.set('targets', [...members('first'), ...members('second')]);
 });
 
 Given('the second has stopped as well', function (this: SystemWorld) {
-	(this.notes.get('gate') as ServiceBreaker).noteDown(getFailureDomain(members('second')[0]), 0, 'as the scenario says');
+	(this.notes.get('serviceBreaker') as ServiceBreaker).noteDown(getFailureDomain(members('second')[0]), 0, 'as the scenario says');
 });
 
 Given('the first has been formed again', function (this: SystemWorld) {
-	(this.notes.get('gate') as ServiceBreaker).noteRunning(getFailureDomain(members('first')[0]), 0);
+	(this.notes.get('serviceBreaker') as ServiceBreaker).noteRunning(getFailureDomain(members('first')[0]), 0);
 });
 
 When('a caller asks for the service', async function (this: SystemWorld) {
--- a/features/support/fleet-simulation.ts
+++ b/features/support/fleet-simulation.ts
@@ -185,12 +185,12 @@
 	}
 
 	private report(index: number): void {
-		const {board} = this.paths[index];
-		const inFlight = board.getOwnCounts();
+		const {inFlightCounts} = this.paths[index];
+		const inFlight = inFlightCounts.getOwnCounts();
 		const digest = this.paths[index].getDigest(false, this.now);
 		for (const [other, path] of this.paths.entries()) {
 			if (other !== index && this.isLinked(index, other)) {
-				path.board.merge(`entry-${index}`, inFlight, this.now);
+				path.inFlightCounts.merge(`entry-${index}`, inFlight, this.now);
 				path.mergeDigest(`entry-${index}`, digest, other % zones === index % zones, this.now);
 			}
 		}
@@ -307,12 +307,12 @@
 					return;
 				}
 
-				if (refused.marks.retryAfterMs !== undefined) {
-					this.cooldowns.push({pair, from: this.now, until: this.now + refused.marks.retryAfterMs});
+				if (refused.metadata.retryAfterMs !== undefined) {
+					this.cooldowns.push({pair, from: this.now, until: this.now + refused.metadata.retryAfterMs});
 				}
 
 				this.after(latencyMs + refused.delayMs, () => {
-					this.deliverHead(pair, {target: options.target, sentAt}, refused.marks, listener);
+					this.deliverHead(pair, {target: options.target, sentAt}, refused.metadata, listener);
 					resolve(refused.outcome);
 				});
 			});
@@ -334,7 +334,7 @@
 				return;
 			}
 
-			this.deliverHead(pair, sent, target.marks, listener);
+			this.deliverHead(pair, sent, target.answerMetadata, listener);
 			state.answeredAt = this.now;
 			delivery.start(200, []);
 			if (exchange.body === crashingBody) {
--- a/features/support/make-simulated-entry.ts
+++ b/features/support/make-simulated-entry.ts
@@ -54,16 +54,16 @@
 		registry: store,
 		source: plainSource,
 		directory: path.tracker.directory,
-		board: path.board,
+		inFlightCounts: path.inFlightCounts,
 		connect,
 		clock,
 		random,
 		delay: async ms => new Promise(resolve => {
 			setTimeout(resolve, ms);
 		}),
-		getDigest: (isWhole, now) => path.getDigest(isWhole, now),
-		onDigest(peer, digest, isNear, now) {
-			path.mergeDigest(peer, digest, isNear, now);
+		getDigest: (isFull, now) => path.getDigest(isFull, now),
+		onDigest(peer, digest, isSameZone, now) {
+			path.mergeDigest(peer, digest, isSameZone, now);
 		},
 		onMessage: () => undefined,
 		onTable: () => undefined,
@@ -73,8 +73,8 @@
 		onRestart(target) {
 			path.resetTarget(target);
 		},
-		onGroupFormed(unit) {
-			path.noteGroupFormed(unit);
+		onGroupFormed(failureDomain) {
+			path.noteGroupFormed(failureDomain);
 		},
 		log: {view: log, fleet: log, entry: log},
 	});
--- a/features/support/mesh-simulation.ts
+++ b/features/support/mesh-simulation.ts
@@ -12,7 +12,7 @@
 type Member = {
 	readonly address: string;
 	readonly availabilityZone: string;
-	readonly board: InFlightCounts;
+	readonly inFlightCounts: InFlightCounts;
 	readonly mesh: EntryMesh;
 	/** Running requests: their targets, and when they end, milliseconds. */
 	running: Array<{readonly target: string; readonly endsAt: number}>;
@@ -74,15 +74,15 @@
 
 	/** Number of entries whose total of requests in flight is wrong. */
 	countWrongTotals(): number {
-		const totals = this.members.map(({board}) => this.sum(board));
+		const totals = this.members.map(({inFlightCounts}) => this.sum(inFlightCounts));
 		const inFlight = this.members.flatMap(({running}) => running).length;
 		return totals.filter(total => total !== inFlight).length;
 	}
 
-	private sum(board: InFlightCounts): number {
+	private sum(inFlightCounts: InFlightCounts): number {
 		let total = 0;
 		for (let target = 0; target < this.options.targets; target++) {
-			total += board.count(`i-target-${target}`, this.now);
+			total += inFlightCounts.count(`i-target-${target}`, this.now);
 		}
 
 		return total;
@@ -101,7 +101,7 @@
 	}
 
 	private serve(member: Member): void {
-		const {board, mesh} = member;
+		const {inFlightCounts, mesh} = member;
 		if (this.now % tickMs === 0) {
 			mesh.tick();
 		}
@@ -112,13 +112,13 @@
 		}
 
 		for (const {target} of member.running.filter(({endsAt}) => endsAt <= this.now)) {
-			board.noteEnd(target);
+			inFlightCounts.noteEnd(target);
 		}
 
 		member.running = member.running.filter(({endsAt}) => endsAt > this.now);
 		if (this.now >= member.nextRequestAt) {
 			const target = `i-target-${Math.floor(this.random() * this.options.targets)}`;
-			board.noteStart(target, this.now);
+			inFlightCounts.noteStart(target, this.now);
 			member.running.push({target, endsAt: this.now + durationMs});
 			member.nextRequestAt = this.now + (requestIntervalMs * 2 * this.random());
 		}
@@ -128,7 +128,7 @@
 		const address = `10.0.${index}.1:1`;
 		const availabilityZone = `zone-${index % this.options.zones}`;
 		const clock = (): number => this.now;
-		const board = new InFlightCounts(() => {
+		const inFlightCounts = new InFlightCounts(() => {
 			mesh.reportSoon();
 		});
 		const mesh: EntryMesh = new EntryMesh({
@@ -152,7 +152,7 @@
 				onChange: String,
 			}),
 			getConfigurationVersion: () => 0,
-			board,
+			inFlightCounts,
 			getDigest: () => ({}),
 			onDigest: () => undefined,
 			onMessage: () => undefined,
@@ -166,7 +166,7 @@
 			});
 		});
 		return {
-			address, availabilityZone, board, mesh, running: [], nextRequestAt: 0,
+			address, availabilityZone, inFlightCounts, mesh, running: [], nextRequestAt: 0,
 		};
 	}
 }
--- a/features/support/simulated-target.ts
+++ b/features/support/simulated-target.ts
@@ -11,7 +11,7 @@
 	readonly delayMs: number;
 };
 
-type Refused = {readonly marks: AnswerMetadata; readonly outcome: SendOutcome; readonly delayMs: number};
+type Refused = {readonly metadata: AnswerMetadata; readonly outcome: SendOutcome; readonly delayMs: number};
 
 /** Requests queued at a target beyond its slots before it refuses more. */
 const queueLength = 4;
@@ -35,7 +35,7 @@
 	constructor(public target: Target) {}
 
 	/** The properties of the target in the heads of its answers. */
-	get marks(): AnswerMetadata {
+	get answerMetadata(): AnswerMetadata {
 		return {
 			status: 200,
 			requestId: undefined,
@@ -59,11 +59,11 @@
 			return undefined;
 		}
 
-		const restMs = isRefusing ? this.refusal!.cooldownMs : this.fullCooldownMs;
+		const cooldownMs = isRefusing ? this.refusal!.cooldownMs : this.fullCooldownMs;
 		return {
 			delayMs: this.refusal?.delayMs ?? 0,
-			marks: {
-				...this.marks, status: 503, isNotRun: true, retryAfterMs: restMs, retryAfterText: restMs === undefined ? undefined : String(restMs / 1000),
+			metadata: {
+				...this.answerMetadata, status: 503, isNotRun: true, retryAfterMs: cooldownMs, retryAfterText: cooldownMs === undefined ? undefined : String(cooldownMs / 1000),
 			},
 			outcome: {
 				kind: 'not-run', reason: 'target refused', wasSent: true, cause: 'busy',
--- a/src/forward/fleet-state.ts
+++ b/src/forward/fleet-state.ts
@@ -17,7 +17,7 @@
 	/** Called with the id of a target that has restarted. */
 	readonly onRestart: (target: string) => void;
 	/** Called with a group, as `SERVICE/GROUP`, that has been formed again. */
-	readonly onGroupFormed: (unit: string) => void;
+	readonly onGroupFormed: (failureDomain: string) => void;
 };
 
 /** The configuration and the targets that this process uses, derived from its view of the store. */
@@ -39,9 +39,9 @@
 	/** Updates configuration, groups and targets from the view; `now` in milliseconds. */
 	refresh(now: number): void {
 		this.refreshTable();
-		for (const unit of this.groups.replace(this.options.view.list(groupKeys.prefix))) {
-			this.options.log(`group ${unit} has been formed again`);
-			this.options.onGroupFormed(unit);
+		for (const group of this.groups.replace(this.options.view.list(groupKeys.prefix))) {
+			this.options.log(`group ${group} has been formed again`);
+			this.options.onGroupFormed(group);
 		}
 
 		this.refreshTargets(now);
--- a/src/forward/forward-dispatcher.ts
+++ b/src/forward/forward-dispatcher.ts
@@ -45,7 +45,7 @@
 	async run(exchange: ForwardExchange): Promise<Result<void, Problem>> {
 		const route = exchange.route!;
 		exchange.service = pickService(route, this.options.random);
-		this.options.budget.noteRequest(exchange.service, this.options.clock());
+		this.options.retryBudget.noteRequest(exchange.service, this.options.clock());
 		this.options.probes.noteRequest(exchange.service, route.maximumAttempts > 1);
 		const progress: SendProgress = {
 			delivery: new StreamDelivery(exchange),
@@ -75,7 +75,7 @@
 	}
 
 	private async sendTo(target: Target, exchange: ForwardExchange, progress: SendProgress): Promise<SendOutcome> {
-		const {board, tracker, clock, send, stalls, onSend} = this.options;
+		const {inFlightCounts, tracker, clock, send, stalls, onSend} = this.options;
 		const now = clock();
 		const remainingMs = exchange.deadline - now;
 		if (exchange.disconnection.signal.aborted) {
@@ -87,8 +87,8 @@
 			return {kind: 'not-run', reason: 'the deadline passed', wasSent: false};
 		}
 
-		progress.inFlight = board.count(target.id, now);
-		board.noteStart(target.id, now);
+		progress.inFlight = inFlightCounts.count(target.id, now);
+		inFlightCounts.noteStart(target.id, now);
 		tracker.noteSend(target.id, now);
 		progress.isRetryCharged = false;
 		onSend(exchange.service, progress.sent > 0);
@@ -105,7 +105,7 @@
 				}),
 			});
 		} finally {
-			board.noteEnd(target.id);
+			inFlightCounts.noteEnd(target.id);
 		}
 	}
 
@@ -176,12 +176,12 @@
 
 	/* Updates what is known of the target, its group or its address by why the request did not run. */
 	private noteCause({cause, wasSent}: Extract<SendOutcome, {kind: 'not-run'}>, target: Target, isOver: boolean, now: number): void {
-		const {gate, tracker: {directory, health}} = this.options;
+		const {serviceBreaker, tracker: {directory, health}} = this.options;
 		if (cause === 'group-down') {
-			gate.noteDown(getFailureDomain(target), now, `target ${target.id} refuses since its group has stopped`);
+			serviceBreaker.noteDown(getFailureDomain(target), now, `target ${target.id} refuses since its group has stopped`);
 		} else if (cause === 'gone') {
 			directory.markGone(target);
-			gate.allowNextProbe(getFailureDomain(target), now);
+			serviceBreaker.allowNextProbe(getFailureDomain(target), now);
 		} else if (!wasSent && !isOver) {
 			health.noteUnreachable(target.id, now);
 		}
--- a/src/forward/make-entry-state.ts
+++ b/src/forward/make-entry-state.ts
@@ -11,7 +11,7 @@
 import {StoreView} from '../view/store-view.js';
 import {type FleetSource} from './fleet-source.js';
 import {FleetState} from './fleet-state.js';
-import {makeItemGuard} from './make-item-guard.js';
+import {makeItemComparator} from './make-item-comparator.js';
 
 type MeshOptions = ConstructorParameters<typeof EntryMesh>[0];
 type StateOptions = ConstructorParameters<typeof FleetState>[0];
@@ -26,7 +26,7 @@
 	readonly registry: Registry;
 	readonly source: FleetSource;
 	readonly directory: TargetDirectory;
-	readonly board: InFlightCounts;
+	readonly inFlightCounts: InFlightCounts;
 	readonly connect: (address: string) => Promise<LinkConnection>;
 	readonly clock: () => number;
 	readonly random: () => number;
@@ -64,7 +64,7 @@
 	const view: StoreView = new StoreView({
 		...options,
 		prefix: '',
-		comparator: makeItemGuard(options.source),
+		comparator: makeItemComparator(options.source),
 		waitMs: viewWaitMs,
 		maximumBackoffMs,
 		log: log.view,
--- a/src/forward/make-forward-pipeline.ts
+++ b/src/forward/make-forward-pipeline.ts
@@ -34,13 +34,13 @@
 };
 
 type ForwardPipeline = {
-	readonly board: InFlightCounts;
+	readonly inFlightCounts: InFlightCounts;
 	readonly tracker: TargetTracker;
 	readonly dispatcher: ForwardDispatcher;
 	/** Returns the digest to send to peers; the whole one for a peer that may not have received any yet. */
-	getDigest(isWhole: boolean, now: number): EntryDigest;
-	/** Merges a peer's digest; `isNear` says whether the peer is in the same availability zone. */
-	mergeDigest(peer: string, digest: EntryDigest, isNear: boolean, now: number): void;
+	getDigest(isFull: boolean, now: number): EntryDigest;
+	/** Merges a peer's digest; `isSameZone` says whether the peer is in the same availability zone. */
+	mergeDigest(peer: string, digest: EntryDigest, isSameZone: boolean, now: number): void;
 	/** Runs the periodic checks for stalls and expired state. */
 	tick(): void;
 	/** Closes the connections and drops the state of a target that takes no more requests. */
@@ -48,31 +48,31 @@
 	/** Closes the connections and resets the state of a target that has restarted. */
 	resetTarget(target: string): void;
 	/** Notes that a group has been formed again, so that requests may go to it. */
-	noteGroupFormed(unit: string): void;
+	noteGroupFormed(failureDomain: string): void;
 	close(): void;
 };
 
 /** Creates the components that send a request to a target: choice of target, admission, retry budget, transport, stall and crash detection. */
 export function makeForwardPipeline(options: PipelineOptions): ForwardPipeline {
 	const {availabilityZone, repeats, openTransport, clock, random, countRegistered, getService, onLoadChange, onCrashFound, onSend, log, address, listPeers} = options;
-	const board = new InFlightCounts(onLoadChange);
+	const inFlightCounts = new InFlightCounts(onLoadChange);
 	const electEntry = (key: string, now: number): string => rankByRendezvous(key, [address, ...listPeers(now)])[0];
-	const tracker = new TargetTracker({...options, electEntry, countInFlight: target => board.count(target, clock())});
+	const tracker = new TargetTracker({...options, electEntry, countInFlight: target => inFlightCounts.count(target, clock())});
 	const {directory, health} = tracker;
-	const gate = new ServiceBreaker(log);
+	const serviceBreaker = new ServiceBreaker(log);
 	const admission = new StreamAdmission({
-		board,
+		inFlightCounts,
 		listAvailable: (service, now) => tracker.listAvailable(service, now),
-		isHealthy: ({id}, now) => tracker.getStanding(id, now) === 'sound',
+		isHealthy: ({id}, now) => tracker.getBreakerState(id, now) === 'sound',
 		getService,
 	});
 	const stalls = new StallDetector({
-		board,
+		inFlightCounts,
 		health,
 		clock,
 		log,
-		onStopped(unit) {
-			gate.noteDown(unit, clock(), 'none of its streams makes progress');
+		onStopped(failureDomain) {
+			serviceBreaker.noteDown(failureDomain, clock(), 'none of its streams makes progress');
 		},
 		onSilentConnection(target) {
 			transport.drop(target);
@@ -84,8 +84,8 @@
 		},
 		onProgress(target) {
 			const now = clock();
-			board.noteProgress(target.id, now);
-			gate.noteRunning(getFailureDomain(target), now);
+			inFlightCounts.noteProgress(target.id, now);
+			serviceBreaker.noteRunning(getFailureDomain(target), now);
 		},
 		onGap(target, gapMs) {
 			admission.noteGap(target, gapMs);
@@ -103,10 +103,10 @@
 		send: async sendOptions => transport.send(sendOptions),
 		tracker,
 		crashes,
-		board,
-		gate,
+		inFlightCounts,
+		serviceBreaker,
 		probes: new ProbeBudget(),
-		budget: new SharedRetryBudget({...repeats, countEntries: now => Math.max(board.countLivePeers(now) + 1, countRegistered())}),
+		retryBudget: new SharedRetryBudget({...repeats, countEntries: now => Math.max(inFlightCounts.countLivePeers(now) + 1, countRegistered())}),
 		stalls,
 		admission,
 		availabilityZone,
@@ -117,12 +117,12 @@
 	});
 
 	return {
-		board,
+		inFlightCounts,
 		tracker,
 		dispatcher,
-		getDigest: (isWhole, now) => ({...tracker.getDigest(now), ...crashes.suspects.getDigest(isWhole, now)}),
-		mergeDigest(peer, digest, isNear, now) {
-			tracker.mergeDigest(peer, digest, isNear, now);
+		getDigest: (isFull, now) => ({...tracker.getDigest(now), ...crashes.suspects.getDigest(isFull, now)}),
+		mergeDigest(peer, digest, isSameZone, now) {
+			tracker.mergeDigest(peer, digest, isSameZone, now);
 			crashes.suspects.merge(digest, now);
 		},
 		tick() {
@@ -134,7 +134,7 @@
 		},
 		removeTarget(target) {
 			transport.drop(target);
-			board.prune(id => directory.get(id) !== undefined);
+			inFlightCounts.prune(id => directory.get(id) !== undefined);
 			tracker.prune();
 		},
 		resetTarget(target) {
@@ -142,8 +142,8 @@
 			tracker.resetTarget(target);
 			crashes.noteRestart(target);
 		},
-		noteGroupFormed(unit) {
-			gate.noteRunning(unit, clock());
+		noteGroupFormed(failureDomain) {
+			serviceBreaker.noteRunning(failureDomain, clock());
 		},
 		close() {
 			transport.close();
--- a/src/forward/make-item-guard.ts
+++ b/src/forward/make-item-comparator.ts
@@ -7,7 +7,7 @@
  * Creates the check for which of two stored items is outdated, by their content: versions of the configuration only rise,
  * and a target that is leaving does not return under the same time of birth.
  */
-export function makeItemGuard(source: FleetSource): ItemComparator {
+export function makeItemComparator(source: FleetSource): ItemComparator {
 	const readVersion = (item: StoredValue): number | undefined => {
 		try {
 			return source.readConfiguration({get: () => item})?.version;
--- a/src/forward/stall-detector.ts
+++ b/src/forward/stall-detector.ts
@@ -4,12 +4,12 @@
 import {type Target} from '../fleet/target.js';
 
 type DetectorOptions = {
-	readonly board: InFlightCounts;
+	readonly inFlightCounts: InFlightCounts;
 	readonly health: TargetHealth;
 	readonly clock: () => number;
 	readonly log: (message: string) => void;
 	/** Called with a group (or a service whose groups are not known) that has stopped as a whole. */
-	readonly onStopped: (unit: string) => void;
+	readonly onStopped: (failureDomain: string) => void;
 	/** Called with a target of which one connection has stalled: idle connections to it may be lost as well. */
 	readonly onSilentConnection: (target: string) => void;
 };
@@ -39,7 +39,7 @@
  * A group or service that sent nothing for this time on any of its streams has stopped, milliseconds. Passes of a group
  * take 35 to 60 ms, a change of its expert map up to 150 ms.
  */
-const unitStallTimeoutMs = 500;
+const failureDomainStallTimeoutMs = 500;
 /** For a slow group or service the timeout is longer: this many times its mean gap between two events. */
 const stallGapFactor = 4;
 /** Weight of the newest gap between two events in the moving average. */
@@ -91,9 +91,9 @@
 		const now = this.options.clock();
 		const {target, progressAt} = watched;
 		if (progressAt !== undefined) {
-			const unit = getFailureDomain(target);
-			const meanGapMs = this.meanGaps.get(unit) ?? 0;
-			this.meanGaps.set(unit, meanGapMs + (((now - progressAt) - meanGapMs) * gapWeight));
+			const failureDomain = getFailureDomain(target);
+			const meanGapMs = this.meanGaps.get(failureDomain) ?? 0;
+			this.meanGaps.set(failureDomain, meanGapMs + (((now - progressAt) - meanGapMs) * gapWeight));
 		}
 
 		watched.progressAt = now;
@@ -102,7 +102,7 @@
 	private updateActive(now: number): void {
 		const active = new Set<string>();
 		for (const {target: {id, service}} of this.watched) {
-			if (this.options.board.getSilenceMs(id, now) < activeWindowMs) {
+			if (this.options.inFlightCounts.getSilenceMs(id, now) < activeWindowMs) {
 				active.add(service);
 			}
 		}
@@ -120,18 +120,18 @@
 
 	/* Requests to a stopped group or service would wait until they are refused or their caller disconnects. */
 	private detectStoppedUnits(now: number): void {
-		const units = new Map<string, number[]>();
+		const failureDomains = new Map<string, number[]>();
 		for (const {target, progressAt, isWaitingForCaller} of this.watched) {
 			if (progressAt !== undefined && !isWaitingForCaller()) {
-				const unit = getFailureDomain(target);
-				units.set(unit, [...units.get(unit) ?? [], progressAt]);
+				const failureDomain = getFailureDomain(target);
+				failureDomains.set(failureDomain, [...failureDomains.get(failureDomain) ?? [], progressAt]);
 			}
 		}
 
-		for (const [unit, times] of units) {
-			const limitMs = Math.max(unitStallTimeoutMs, stallGapFactor * (this.meanGaps.get(unit) ?? 0));
+		for (const [failureDomain, times] of failureDomains) {
+			const limitMs = Math.max(failureDomainStallTimeoutMs, stallGapFactor * (this.meanGaps.get(failureDomain) ?? 0));
 			if (times.length >= minimumStreams && now - Math.max(...times) > limitMs) {
-				this.options.onStopped(unit);
+				this.options.onStopped(failureDomain);
 			}
 		}
 	}
@@ -139,17 +139,17 @@
 	/* A group that pauses as a whole is silent at all targets; then no single target has failed. */
 	private isTargetSilent({id, service}: Target, now: number): boolean {
 		const activeMs = now - (this.activeSince.get(service) ?? now);
-		return this.options.board.getSilenceMs(id, now) > stallTimeoutMs && activeMs > stallTimeoutMs;
+		return this.options.inFlightCounts.getSilenceMs(id, now) > stallTimeoutMs && activeMs > stallTimeoutMs;
 	}
 
 	/* A target makes progress on all of its answers together, so a single silent one means a lost connection. */
 	private isConnectionSilent({target, progressAt}: WatchedRequest, now: number): boolean {
-		return progressAt !== undefined && now - progressAt > stallTimeoutMs && this.options.board.getSilenceMs(target.id, now) < activeWindowMs;
+		return progressAt !== undefined && now - progressAt > stallTimeoutMs && this.options.inFlightCounts.getSilenceMs(target.id, now) < activeWindowMs;
 	}
 
 	private abortAtTarget({target, abort}: WatchedRequest, now: number): void {
-		const {board, health, log} = this.options;
-		log(`target ${target.id} of ${target.service} silent for ${Math.round(board.getSilenceMs(target.id, now))} ms while others of its service answer`);
+		const {inFlightCounts, health, log} = this.options;
+		log(`target ${target.id} of ${target.service} silent for ${Math.round(inFlightCounts.getSilenceMs(target.id, now))} ms while others of its service answer`);
 		health.noteUnreachable(target.id, now);
 		abort.abort('the target has gone silent');
 	}
--- a/src/forward/start-forward-entry.ts
+++ b/src/forward/start-forward-entry.ts
@@ -83,7 +83,7 @@
 			requestLog.info(message);
 		},
 	});
-	const {board, tracker, dispatcher} = pipeline;
+	const {inFlightCounts, tracker, dispatcher} = pipeline;
 	let isStopping = false;
 
 	const entryState = makeEntryState({
@@ -93,7 +93,7 @@
 		address: linkAddress,
 		availabilityZone,
 		directory: tracker.directory,
-		board,
+		inFlightCounts,
 		delay,
 		async connect(peer) {
 			const [host, port] = peer.split(':');
@@ -101,9 +101,9 @@
 				...settings.link, address: host, port: Number(port), timeoutMs: linkTimeoutMs, meter: metrics.meterLink,
 			});
 		},
-		getDigest: (isWhole, now) => pipeline.getDigest(isWhole, now),
-		onDigest(peer, digest, isNear, now) {
-			pipeline.mergeDigest(peer, digest, isNear, now);
+		getDigest: (isFull, now) => pipeline.getDigest(isFull, now),
+		onDigest(peer, digest, isSameZone, now) {
+			pipeline.mergeDigest(peer, digest, isSameZone, now);
 		},
 		onMessage(message, send) {
 			if (message.type === 'permit-wanted') {
@@ -122,8 +122,8 @@
 		onRestart(target) {
 			pipeline.resetTarget(target);
 		},
-		onGroupFormed(unit) {
-			pipeline.noteGroupFormed(unit);
+		onGroupFormed(failureDomain) {
+			pipeline.noteGroupFormed(failureDomain);
 		},
 		log: {
 			view(message) {
@@ -196,7 +196,7 @@
 		revision: view.asOf.number,
 		ageMs: view.getAge(clock()),
 		openRequests: server.openRequests,
-		inFlight: board.getOwnCounts(),
+		inFlight: inFlightCounts.getOwnCounts(),
 	});
 	const shared = {
 		address, registry: metrics.registry, isReady, pages: {status: getStatus},
@@ -210,7 +210,7 @@
 		const now = clock();
 		entryState.tick(now);
 		pipeline.tick();
-		metrics.resting.set(tracker.rests.size);
+		metrics.resting.set(tracker.cooldowns.size);
 		metrics.limited.set(tracker.limits.size);
 	}, tickMs);
 	entryLog.info(`started in ${availabilityZone}, listening for callers on ${address}:${server.port}`);
--- a/src/forward/stream-admission.ts
+++ b/src/forward/stream-admission.ts
@@ -7,7 +7,7 @@
 import {type Target} from '../fleet/target.js';
 
 type AdmissionOptions = {
-	readonly board: InFlightCounts;
+	readonly inFlightCounts: InFlightCounts;
 	/** Returns the targets of a service that requests may be sent to now. */
 	readonly listAvailable: (service: string, now: number) => readonly Target[];
 	/** Whether a target is known to take requests; the capacity of others is not counted. */
@@ -21,16 +21,16 @@
 /** The targets that have room for a stream; where none has, the reason. */
 type TargetsWithRoom = {readonly targets: readonly Target[]; readonly refusal: string | undefined};
 
-const groupByUnit = (targets: readonly Target[]): Map<string, Target[]> => {
-	const units = new Map<string, Target[]>();
+const groupByFailureDomain = (targets: readonly Target[]): Map<string, Target[]> => {
+	const failureDomains = new Map<string, Target[]>();
 	for (const target of targets) {
-		const unit = getFailureDomain(target);
-		const members = units.get(unit) ?? [];
+		const failureDomain = getFailureDomain(target);
+		const members = failureDomains.get(failureDomain) ?? [];
 		members.push(target);
-		units.set(unit, members);
+		failureDomains.set(failureDomain, members);
 	}
 
-	return units;
+	return failureDomains;
 };
 
 /**
@@ -45,21 +45,21 @@
 
 	/** Records the gap between two events of a stream, milliseconds. */
 	noteGap(target: Target, gapMs: number): void {
-		const unit = getFailureDomain(target);
-		const gaps = this.gaps.get(unit) ?? {count: 0, sumMs: 0, service: target.service};
+		const failureDomain = getFailureDomain(target);
+		const gaps = this.gaps.get(failureDomain) ?? {count: 0, sumMs: 0, service: target.service};
 		gaps.count++;
 		gaps.sumMs += gapMs;
-		this.gaps.set(unit, gaps);
+		this.gaps.set(failureDomain, gaps);
 	}
 
 	/** Updates the forecasts by the gaps recorded since the last call. */
 	tick(now: number): void {
-		for (const [unit, {count, sumMs, service}] of this.gaps) {
+		for (const [failureDomain, {count, sumMs, service}] of this.gaps) {
 			const pace = this.options.getService(service)?.pace;
-			const targets = this.listHealthy(groupByUnit(this.options.listAvailable(service, now)).get(unit) ?? [], now);
+			const targets = this.listHealthy(groupByFailureDomain(this.options.listAvailable(service, now)).get(failureDomain) ?? [], now);
 			if (pace && targets.length > 0) {
 				const load = this.countInFlight(targets, now) / targets.length;
-				this.getForecast(unit).observe({gapMs: sumMs / count, load, pace}, now);
+				this.getForecast(failureDomain).observe({gapMs: sumMs / count, load, pace}, now);
 			}
 		}
 
@@ -80,16 +80,16 @@
 
 		const open: Target[] = [];
 		const refusals: string[] = [];
-		for (const [unit, members] of groupByUnit(targets)) {
+		for (const [domain, members] of groupByFailureDomain(targets)) {
 			const healthy = this.listHealthy(members, now);
 			const inFlight = this.countInFlight(healthy, now);
-			const admission = admitStream({
-				forecast: this.getForecast(unit), pace, targetGapMs, inFlight, targets: healthy.length, isLate: timeoutMs - leftMs > targetLatencyMs,
+			const verdict = admitStream({
+				forecast: this.getForecast(domain), pace, targetGapMs, inFlight, targets: healthy.length, isLate: timeoutMs - leftMs > targetLatencyMs,
 			});
-			if (admission.kind === 'admitted') {
+			if (verdict.kind === 'admitted') {
 				open.push(...members);
 			} else {
-				refusals.push(`${unit}: ${inFlight} streams under way, at most ${admission.maximumInFlight} go on without pauses over ${targetGapMs} ms (mean now ${Math.round(admission.gapMs)} ms)`);
+				refusals.push(`${domain}: ${inFlight} streams under way, at most ${verdict.maximumInFlight} go on without pauses over ${targetGapMs} ms (mean now ${Math.round(verdict.gapMs)} ms)`);
 			}
 		}
 
@@ -102,16 +102,16 @@
 		return healthy.length > 0 ? healthy : targets;
 	}
 
-	private getForecast(unit: string): GapForecast {
-		const forecast = this.forecasts.get(unit) ?? new GapForecast();
-		this.forecasts.set(unit, forecast);
+	private getForecast(failureDomain: string): GapForecast {
+		const forecast = this.forecasts.get(failureDomain) ?? new GapForecast();
+		this.forecasts.set(failureDomain, forecast);
 		return forecast;
 	}
 
 	private countInFlight(targets: readonly Target[], now: number): number {
 		let inFlight = 0;
 		for (const {id} of targets) {
-			inFlight += this.options.board.count(id, now);
+			inFlight += this.options.inFlightCounts.count(id, now);
 		}
 
 		return inFlight;
--- a/src/forward/target-picker.ts
+++ b/src/forward/target-picker.ts
@@ -19,11 +19,11 @@
 	readonly tracker: TargetTracker;
 	/** Blocks requests that crash targets. */
 	readonly crashes: CrashDetector;
-	readonly board: InFlightCounts;
+	readonly inFlightCounts: InFlightCounts;
 	/** Blocks groups and services that have stopped. */
-	readonly gate: ServiceBreaker;
+	readonly serviceBreaker: ServiceBreaker;
 	/** Limits retries. */
-	readonly budget: SharedRetryBudget;
+	readonly retryBudget: SharedRetryBudget;
 	/** Limits requests sent as probes to targets that have refused some. */
 	readonly probes: ProbeBudget;
 	readonly admission: StreamAdmission;
@@ -47,7 +47,7 @@
 
 	/** Chooses a target, and takes a permit if the target has a rate limit. */
 	async pick(exchange: ForwardExchange, progress: SendProgress): Promise<Target | Refusal> {
-		const {tracker, gate, clock} = this.options;
+		const {tracker, serviceBreaker, clock} = this.options;
 		for (let requests = 0; requests < maximumPermitRequests; requests++) {
 			const target = this.choose(exchange, progress, true);
 			if ('detail' in target || await tracker.permits.take(target)) {
@@ -55,7 +55,7 @@
 			}
 
 			exchange.noteDecision(`no permit for ${target.id}, limited to ${tracker.limits.get(target.id)} requests per second`);
-			gate.allowNextProbe(getFailureDomain(target), clock());
+			serviceBreaker.allowNextProbe(getFailureDomain(target), clock());
 		}
 
 		return this.choose(exchange, progress, false);
@@ -63,7 +63,7 @@
 
 	/* @param mayAsk - whether rate-limited targets, which need a permit first, are candidates */
 	private choose(exchange: ForwardExchange, progress: SendProgress, mayAsk: boolean): Target | Refusal {
-		const {board, tracker, probes, availabilityZone, clock, random} = this.options;
+		const {inFlightCounts, tracker, probes, availabilityZone, clock, random} = this.options;
 		const {health, refusals} = tracker;
 		const now = clock();
 		if (progress.attempts >= maximumAttempts || progress.sent - progress.misdirected >= exchange.route!.maximumAttempts) {
@@ -98,7 +98,7 @@
 			return this.refuseUnavailable(unavailable);
 		}
 
-		if (progress.sent > 0 && !progress.isRetryCharged && !this.options.budget.takeRetry(exchange.service, now)) {
+		if (progress.sent > 0 && !progress.isRetryCharged && !this.options.retryBudget.takeRetry(exchange.service, now)) {
 			return {spread: retrySpreads.overload, detail: `${progress.reason}; the budget of repeats is spent`};
 		}
 
@@ -107,8 +107,8 @@
 			targets: candidates,
 			excluded: progress.excluded,
 			availabilityZone,
-			countInFlight: target => board.count(target, now),
-			getBreakerState: target => tracker.getStanding(target, now),
+			countInFlight: target => inFlightCounts.count(target, now),
+			getBreakerState: target => tracker.getBreakerState(target, now),
 			getServedAt: target => refusals.getServedAt(target),
 			getFailureRate: target => health.getFailureRate(target, now),
 			getLatencyMs: target => exchange.route!.kind === 'stream' ? 0 : health.getLatencyMs(target, now),
@@ -155,15 +155,15 @@
 	 * take its share; when all have, single requests probe whether they run again. Undefined when no request may be sent.
 	 */
 	private listRunning(service: string, now: number): readonly Target[] | undefined {
-		const {tracker, gate} = this.options;
+		const {tracker, serviceBreaker} = this.options;
 		const registered = tracker.listAvailable(service, now);
-		const units = [...new Set(registered.map(target => getFailureDomain(target)))];
-		const running = units.filter(unit => !gate.isAvoided(unit, now));
-		if (units.length > 1 && running.length > 0) {
+		const failureDomains = [...new Set(registered.map(target => getFailureDomain(target)))];
+		const running = failureDomains.filter(failureDomain => !serviceBreaker.isAvoided(failureDomain, now));
+		if (failureDomains.length > 1 && running.length > 0) {
 			return registered.filter(target => running.includes(getFailureDomain(target)));
 		}
 
-		const probed = units.length === 0 ? service : units.find(unit => gate.admit(unit, now));
-		return probed === undefined ? undefined : registered.filter(target => units.length < 2 || getFailureDomain(target) === probed);
+		const probed = failureDomains.length === 0 ? service : failureDomains.find(failureDomain => serviceBreaker.admit(failureDomain, now));
+		return probed === undefined ? undefined : registered.filter(target => failureDomains.length < 2 || getFailureDomain(target) === probed);
 	}
 }
--- a/src/forward/target-tracker.ts
+++ b/src/forward/target-tracker.ts
@@ -35,13 +35,13 @@
 	readonly directory = new TargetDirectory();
 	readonly health = new TargetHealth();
 	readonly refusals: TargetRefusals;
-	readonly rests: TargetCooldowns;
+	readonly cooldowns: TargetCooldowns;
 	readonly limits: TargetLimits;
 	readonly permits: LimitPermits;
 
 	constructor(private readonly options: TrackerOptions) {
 		this.refusals = new TargetRefusals(options.log);
-		this.rests = new TargetCooldowns(options.log);
+		this.cooldowns = new TargetCooldowns(options.log);
 		this.limits = new TargetLimits(options.log);
 		this.permits = new LimitPermits({...options, limits: this.limits});
 	}
@@ -62,7 +62,7 @@
 	}
 
 	/** Returns a target's standing. One with a limit of 0 is 'doubtful', so that it is only probed now and then. */
-	getStanding(target: string, now: number): BreakerState {
+	getBreakerState(target: string, now: number): BreakerState {
 		if (this.health.isAvoided(target, now)) {
 			return 'avoided';
 		}
@@ -72,7 +72,7 @@
 
 	/** Notes that a request is sent to a target. */
 	noteSend(target: string, now: number): void {
-		this.rests.noteSend(target, now);
+		this.cooldowns.noteSend(target, now);
 		this.limits.noteSend(target);
 	}
 
@@ -95,7 +95,7 @@
 
 		if (metadata.retryAfterMs !== undefined && metadata.retryAfterMs > 0) {
 			const inFlight = this.options.countInFlight(sender.id);
-			this.rests.start(sender, {
+			this.cooldowns.start(sender, {
 				durationMs: metadata.retryAfterMs, status: metadata.status, retryAfter: metadata.retryAfterText ?? '', inFlight,
 			}, now);
 		}
@@ -117,10 +117,10 @@
 	/**
 	 * Merges a peer's digest.
 	 *
-	 * @param isNear - whether the peer is in the same availability zone: a target may refuse requests from some zones only
+	 * @param isSameZone - whether the peer is in the same availability zone: a target may refuse requests from some zones only
 	 */
-	mergeDigest(peer: string, {refusing, recovered, leaves, limits}: EntryDigest, isNear: boolean, now: number): void {
-		if (isNear) {
+	mergeDigest(peer: string, {refusing, recovered, leaves, limits}: EntryDigest, isSameZone: boolean, now: number): void {
+		if (isSameZone) {
 			this.refusals.merge(peer, {refusing: refusing ?? [], recovered: recovered ?? []}, now);
 		}
 
@@ -139,7 +139,7 @@
 	tick(now: number): void {
 		const isKnown = (target: string): boolean => this.directory.get(target) !== undefined;
 		this.refusals.tick(now);
-		this.rests.tick(now, isKnown);
+		this.cooldowns.tick(now, isKnown);
 		this.limits.tick(now, isKnown);
 		this.permits.tick(now);
 	}
@@ -155,14 +155,14 @@
 	resetTarget(target: string): void {
 		this.health.forget(target);
 		this.refusals.forget(target);
-		this.rests.forget(target);
+		this.cooldowns.forget(target);
 		this.limits.forget(target);
 	}
 
 	private findUnavailable(id: string, now: number): UnavailableTarget | undefined {
-		const restMs = this.rests.getRemainingMs(id, now);
-		if (restMs > 0) {
-			return {id, cause: 'rests', waitMs: restMs};
+		const cooldownMs = this.cooldowns.getRemainingMs(id, now);
+		if (cooldownMs > 0) {
+			return {id, cause: 'rests', waitMs: cooldownMs};
 		}
 
 		const waitMs = this.permits.getWaitMs(id, now);
--- a/src/mesh/entry-mesh.ts
+++ b/src/mesh/entry-mesh.ts
@@ -19,7 +19,7 @@
 	/** Version of the configuration in use at this entry; 0 when there is none. */
 	readonly getConfigurationVersion: () => number;
 	/** Requests in flight of this entry and its peers. */
-	readonly board: InFlightCounts;
+	readonly inFlightCounts: InFlightCounts;
 	/** Gets what is reported to peers on targets and requests; `isFull` for a peer that may not have received any report yet. */
 	readonly getDigest: (isFull: boolean, now: number) => EntryDigest;
 	/** Called with the digest in each report of a peer; `isSameZone`: the peer is in this entry's availability zone. */
@@ -199,9 +199,9 @@
 	}
 
 	private receiveLoad(message: MessageOf<'entry-load'>, send: (message: LinkMessage) => boolean): void {
-		const {board, view, clock, availabilityZone, onDigest} = this.options;
+		const {inFlightCounts, view, clock, availabilityZone, onDigest} = this.options;
 		const now = clock();
-		board.merge(message.id, message.inFlight, now);
+		inFlightCounts.merge(message.id, message.inFlight, now);
 		onDigest(message.id, message, message.availabilityZone === availabilityZone, now);
 		this.addPeers([message.address, ...message.peers ?? []]);
 		const peer = this.peers.get(message.address);
@@ -245,10 +245,10 @@
 
 	private report(now: number): void {
 		const includesPeers = now - this.peerListSentAt >= peerListMs;
-		const {board, view, getConfigurationVersion, getDigest} = this.options;
+		const {inFlightCounts, view, getConfigurationVersion, getDigest} = this.options;
 		const digest = getDigest(false, now);
 		// The age of a limit grows with time; it does not count as a change.
-		const summary = JSON.stringify([board.getOwnCounts(), view.asOf, getConfigurationVersion(), {...digest, limits: digest.limits?.map(({agoMs, ...limit}) => limit)}]);
+		const summary = JSON.stringify([inFlightCounts.getOwnCounts(), view.asOf, getConfigurationVersion(), {...digest, limits: digest.limits?.map(({agoMs, ...limit}) => limit)}]);
 		if (summary === this.lastSummary && now - this.reportedAt < heartbeatMs) {
 			return;
 		}
@@ -268,7 +268,7 @@
 	}
 
 	private makeReport(includesPeers: boolean): MessageOf<'entry-load'> {
-		const {id, address, availabilityZone, board, view, getConfigurationVersion, clock, getDigest} = this.options;
+		const {id, address, availabilityZone, inFlightCounts, view, getConfigurationVersion, clock, getDigest} = this.options;
 		const now = clock();
 		return {
 			type: 'entry-load',
@@ -278,7 +278,7 @@
 			viewRevision: view.asOf,
 			configurationVersion: getConfigurationVersion(),
 			viewAgeMs: Math.min(Number.MAX_SAFE_INTEGER, Math.max(0, Math.round(view.getAge(now)))),
-			inFlight: board.getOwnCounts(),
+			inFlight: inFlightCounts.getOwnCounts(),
 			...getDigest(includesPeers, now),
 			...(includesPeers && {peers: [...this.peers.keys()]}),
 		};
--- a/stand-ins/forward/http-target.ts
+++ b/stand-ins/forward/http-target.ts
@@ -21,7 +21,7 @@
 	/** Turns everything away so; undefined while it serves. */
 	refusal: {readonly status: number; readonly headers: Readonly<Record<string, string>>} | undefined;
 	/** What all its answers say of it beside what is said of the request. */
-	marks: Readonly<Record<string, string>>;
+	extraHeaders: Readonly<Record<string, string>>;
 	/** Lets the slow answer go. */
 	release(): void;
 	close(): void;
--- a/stand-ins/forward/start-http-target.ts
+++ b/stand-ins/forward/start-http-target.ts
@@ -15,7 +15,7 @@
 /** Connections that were dropped without a word: what comes next on them is reset and not run. */
 const forgotten = new WeakSet<object>();
 
-const makeHead = ({marks}: HttpTarget, id: string, type: string): Record<string, string> => ({
+const makeHead = ({extraHeaders: marks}: HttpTarget, id: string, type: string): Record<string, string> => ({
 	'content-type': type, 'x-request': id, 'x-signed': '1', ...marks,
 });
 const makeRawHead = (id: string): string => `HTTP/1.1 200 OK\r\ncontent-type: text/plain\r\nx-request: ${id}\r\nx-signed: 1\r\n`;
@@ -38,7 +38,7 @@
 		crashingPath: undefined,
 		hasCrashed: false,
 		refusal: undefined,
-		marks: {},
+		extraHeaders: {},
 		release() {
 			releases.get(running)?.();
 		},
@@ -80,7 +80,7 @@
 
 	const manner = running.manners.shift() ?? 'answer';
 	if (manner === 'refuse') {
-		response.writeHead(503, {'x-request': id, 'x-not-run': '1', ...running.marks}).end();
+		response.writeHead(503, {'x-request': id, 'x-not-run': '1', ...running.extraHeaders}).end();
 		return;
 	}
 
