--- a/features/expert-balance.feature
+++ b/features/expert-balance.feature
@@ -133,7 +133,7 @@
     Then the group no longer uses its initial map
     And no pass began on two maps
 
-  Scenario: Counts from before an engine's restart are not taken as demand
+  Scenario: Counts from before an engine's restart are not counted as demand
     Given a rank whose engine has counted 500 choices of expert 1
     When the engine restarts and has counted 600 choices of expert 2
     Then no choices since the restart are known
--- a/features/forward.feature
+++ b/features/forward.feature
@@ -172,12 +172,12 @@
   Scenario Outline: A target that restarts under its id is used again, an outdated registration is not: born <before>, <now>
     Given a target that was born at <before> and is known to be gone
     When its registration says that it was born at <now>, port 9
-    And a late answer tells again that its former life is gone
+    And a late answer reports again that its former incarnation is gone
     Then it is <used>
 
     Examples:
       | before | now  | used                                                             |
-      | 1000   | 2000 | used at port 9, and what was kept for its former life is dropped |
+      | 1000   | 2000 | used at port 9, and what was kept for its former incarnation is dropped |
       | 1000   | 1000 | not used                                                         |
       | 2000   | 1000 | not used                                                         |
 
--- a/features/rest.feature
+++ b/features/rest.feature
@@ -1,4 +1,4 @@
-Feature: A target that asks for a cooldown gets no requests until it ends, and a leaving target gets no new ones
+Feature: A target that requests a cooldown gets no requests until it ends, and a leaving target gets no new ones
 
   # A target asked an entry for a cooldown of 3 s, and got 11 requests from it during that time. When five of sixteen targets refused
   # all requests for nine seconds, they got three quarters of all requests, and the other eleven got fewer than before: targets were
@@ -69,13 +69,13 @@
     Given 1 entries and 4 targets, with callers that use a third of the capacity, seed 1
     When 1 targets refuse all requests from second 1 to 6, asking for a cooldown of 1500 ms
     And another 6 seconds pass
-    Then a log line contains "target-0 of desk asks for a cooldown of 1500 ms (503, Retry-After 1.5), "
+    Then a log line contains "target-0 of desk requests a cooldown of 1500 ms (503, Retry-After 1.5), "
     And a log line contains "left out target-0 (rests "
     And a log line contains "target-0 of desk has completed its cooldown of 1500 ms, 0 requests were sent to it during that time"
     And a log line contains "target-0 refuses requests: other targets are preferred"
     And a log line contains "target-0 serves requests again, "
 
-  Scenario Outline: A target that asks for a cooldown with <status> gets no request of any kind until it ends: <request>
+  Scenario Outline: A target that requests a cooldown with <status> gets no request of any kind until it ends: <request>
     Given an entry before 2 targets
     And target 1 refuses all requests with status <status> and Retry-After "20"
     When a caller sends "<request>" until one request has reached target 1
--- a/features/steps/directory-steps.ts
+++ b/features/steps/directory-steps.ts
@@ -71,7 +71,7 @@
 	directory.replace([target], 0, false);
 	directory.markGone(target);
 	this.notes.set('directory', directory);
-	this.notes.set('former life', target);
+	this.notes.set('former incarnation', target);
 });
 
 When('its registration says that it was born at {int}, port {int}', function (this: SystemWorld, bornAt: number, port: number) {
@@ -80,11 +80,11 @@
 	this.notes.set('renewed', renewed.map(({id}) => id));
 });
 
-When('a late answer tells again that its former life is gone', function (this: SystemWorld) {
-	(this.notes.get('directory') as TargetDirectory).markGone(this.notes.get('former life') as ReturnType<typeof makeTarget>);
+When('a late answer reports again that its former incarnation is gone', function (this: SystemWorld) {
+	(this.notes.get('directory') as TargetDirectory).markGone(this.notes.get('former incarnation') as ReturnType<typeof makeTarget>);
 });
 
-Then('it is used at port {int}, and what was kept for its former life is dropped', function (this: SystemWorld, port: number) {
+Then('it is used at port {int}, and what was kept for its former incarnation is dropped', function (this: SystemWorld, port: number) {
 	const directory = this.notes.get('directory') as TargetDirectory;
 	assert.deepEqual(directory.list('desk').map(target => target.port), [port]);
 	assert.deepEqual(this.notes.get('renewed'), ['target-1']);
--- a/src/balance/target-cooldowns.ts
+++ b/src/balance/target-cooldowns.ts
@@ -40,7 +40,7 @@
 		this.cooldowns.set(target.id, {
 			target, since: now, until: now + durationMs, sends: 0, unregisteredAt: undefined,
 		});
-		this.log(`target ${target.id} of ${target.service} asks for a cooldown of ${Math.round(durationMs)} ms (${status}, Retry-After ${retryAfter}), ${inFlight} requests in flight there`);
+		this.log(`target ${target.id} of ${target.service} requests a cooldown of ${Math.round(durationMs)} ms (${status}, Retry-After ${retryAfter}), ${inFlight} requests in flight there`);
 	}
 
 	/** Number of targets in cooldown. */
@@ -76,7 +76,7 @@
 		}
 	}
 
-	/** Removes the cooldown of a target that has restarted: the new incarnation did not ask for it. */
+	/** Removes the cooldown of a target that has restarted: the new incarnation did not request it. */
 	forget(target: string): void {
 		this.cooldowns.delete(target);
 	}
--- a/src/expert-balance/group-controller.ts
+++ b/src/expert-balance/group-controller.ts
@@ -115,7 +115,7 @@
 		}
 	}
 
-	/** Records the outcome of an order; an order that was not taken may be sent again at once. */
+	/** Records the outcome of an order; an order that was not accepted may be sent again at once. */
 	handleOutcome({rank, outcome}: MessageOf<'rank-outcome'>): void {
 		this.timing.recordOrder(outcome !== 'unknown');
 		if (outcome === 'taken') {
--- a/src/expert-balance/planner-election.ts
+++ b/src/expert-balance/planner-election.ts
@@ -17,7 +17,7 @@
 	readonly era: number;
 	/** The key's value by this process's view: the current planner. */
 	readonly holder: StoredItem | undefined;
-	/** The key's value in the store itself, which differs from the view for a while after the store was restored from a copy. */
+	/** The key's value in the store itself, which differs from the view for a while after the store was restored from a backup. */
 	readonly stored: StoredItem | undefined;
 };
 
@@ -67,7 +67,7 @@
 	}
 
 	private async maintain(heldTerm: HeldTerm, now: number, known: ElectionState | undefined): Promise<void> {
-		// A store that was restored from a copy may have lost the key or its lease, or have another holder for them.
+		// A store that was restored from a backup may have lost the key or its lease, or have another holder for them.
 		if (known && known.era > heldTerm.era) {
 			await this.reacquire(heldTerm, now, known);
 			return;
--- a/src/forward/answer-metadata.ts
+++ b/src/forward/answer-metadata.ts
@@ -15,7 +15,7 @@
 	readonly isSigned: boolean;
 	/** Whether the target announces that it is leaving and takes no new requests. */
 	readonly isLeaving: boolean;
-	/** Time for which the target asks this process to send nothing, milliseconds; undefined when it does not ask, or in a form that cannot be parsed. */
+	/** Cooldown that the target requests, milliseconds; undefined when it requests none, or in a form that cannot be parsed. */
 	readonly retryAfterMs: number | undefined;
 	/** Rate limit of the target for all entries together; undefined when it states none. */
 	readonly limit: {
--- a/src/forward/fleet-state.ts
+++ b/src/forward/fleet-state.ts
@@ -135,7 +135,7 @@
 			onRestart(id);
 		}
 
-		// Kept by time of birth, so that an outdated registration, as in an older copy of the store, does not revoke it.
+		// Kept by time of birth, so that an outdated registration, as in an older backup of the store, does not revoke it.
 		for (const target of targets.filter(({isLeaving}) => isLeaving)) {
 			this.noteLeave(target, 'its registration says so', now);
 		}
--- a/src/forward/target-tracker.ts
+++ b/src/forward/target-tracker.ts
@@ -78,7 +78,7 @@
 
 	/**
 	 * Records what the head of an answer says about its target for later requests: that it serves or refuses, is leaving,
-	 * asks to be sent nothing for a time, or has a rate limit. An answer sent by another target is recorded for that one,
+	 * requests a cooldown, or has a rate limit. An answer sent by another target is recorded for that one,
 	 * and an answer of an earlier incarnation is ignored.
 	 */
 	noteAnswerHead({target, metadata, sentAt}: Head, now: number): void {
--- a/src/link/link-message.ts
+++ b/src/link/link-message.ts
@@ -203,14 +203,14 @@
 		term: z.int().min(0),
 		/** Address at which the rank's engine takes orders, for a planner that has lost contact with the rank's process. */
 		engineAddress: z.string(),
-		/** Last `rank-term` message of a planner: its term, its sending time by the planner's clock, and the time since it arrived at the rank, milliseconds. */
+		/** Last heartbeat of a planner (`rank-term`): its term, its sending time by the planner's clock, and the time since it arrived at the rank, milliseconds. */
 		sign: z.object({term: z.int().min(0), sentAt: z.number(), agoMs: z.number().min(0)}).optional(),
 		report: RankReport,
 		counts: ExpertCounts.optional(),
 		/** Experts that the rank holds, by layer, and the version of the map that placed them. */
 		placement: RankPlacement.optional(),
 	}),
-	/* An order to an engine that a planner asks an entry to deliver, so that no VM of a rank delivers it. */
+	/* An order from a planner to an engine. The planner sends it to an entry, which delivers it, so that no VM of a rank does. */
 	z.object({
 		type: z.literal('engine-order'),
 		number: z.int().min(0),
