--- a/bench/routing.ts
+++ b/bench/routing.ts
@@ -29,22 +29,23 @@
 	waiting: number;
 	sentSinceReport: number;
 };
-/** `refusals` counts those that the last request met. */
+/** An entry with its views of targets; `refusals` is the number of targets that refused the last request. */
 type Entry = {readonly views: View[]; turn: number; refusals: number};
 type Policy = (entry: Entry, prefixHash: number, random: () => number, now: number) => View;
 type Size = {readonly targets: number; readonly entries: number; readonly zones: number; readonly subset: number; readonly seconds: number};
 
 const concurrency = 16;
 const meanServiceMs = 2000;
-const remoteMs = 3;
-const cachedPrefixes = 40;
-const knownPrefixes = 3000;
-/** What a cached prefix saves of the service time. */
+/** Latency added by a target in another zone, and by each refusal, milliseconds. */
+const crossZoneLatencyMs = 3;
+const prefixCacheSize = 40;
+const prefixCount = 3000;
+/** Share of the service time that a cached prefix saves. */
 const prefixSaving = 0.25;
 const stragglerSlowness = 2.5;
 const utilisation = 0.85;
-/** Targets asked before a request waits, as in the dispatcher. */
-const probes = 4;
+/** Maximum number of targets that a request is offered to before it queues, as in the dispatcher. */
+const maximumProbes = 4;
 
 const makeRandom = (seed: number): (() => number) => {
 	const generator = xoroshiro128plus(seed);
@@ -55,7 +56,7 @@
 	id: `target-${index}`, role: 'target', availabilityZone: `zone-${index % zones}`, region: 'default', address: '', linkPort: 0, state: 'live',
 }));
 
-const getWait = (machine: Machine, now: number): number => {
+const getWaitMs = (machine: Machine, now: number): number => {
 	let free = Number.POSITIVE_INFINITY;
 	for (const at of machine.freeAt) {
 		free = Math.min(free, at);
@@ -64,23 +65,23 @@
 	return Math.max(0, free - now);
 };
 
-/* A busy target refuses at once; after a few refusals the request waits at the one with the shortest wait. */
-const askAround = (entry: Entry, prefixHash: number, random: () => number, now: number): View => {
-	const asked: View[] = [];
-	while (asked.length < Math.min(probes, entry.views.length)) {
-		const rest = entry.views.filter(view => !asked.includes(view));
-		const view = chooseTarget(rest, {prefixHash: asked.length === 0 ? prefixHash : undefined, random}) as View;
-		entry.refusals = asked.length;
-		asked.push(view);
-		if (getWait(view.machine, now) === 0) {
+/* A busy target refuses immediately; after `maximumProbes` refusals the request queues at the target with the shortest wait. */
+const chooseWithProbes = (entry: Entry, prefixHash: number, random: () => number, now: number): View => {
+	const probed: View[] = [];
+	while (probed.length < Math.min(maximumProbes, entry.views.length)) {
+		const remaining = entry.views.filter(view => !probed.includes(view));
+		const view = chooseTarget(remaining, {prefixHash: probed.length === 0 ? prefixHash : undefined, random}) as View;
+		entry.refusals = probed.length;
+		probed.push(view);
+		if (getWaitMs(view.machine, now) === 0) {
 			return view;
 		}
 	}
 
-	entry.refusals = asked.length;
-	let best = asked[0];
-	for (const view of asked) {
-		if (getWait(view.machine, now) < getWait(best.machine, now)) {
+	entry.refusals = probed.length;
+	let best = probed[0];
+	for (const view of probed) {
+		if (getWaitMs(view.machine, now) < getWaitMs(best.machine, now)) {
 			best = view;
 		}
 	}
@@ -106,15 +107,15 @@
 		return one.running + one.waiting <= other.running + other.waiting ? one : other;
 	},
 	'one target, no asking': (entry, prefixHash, random) => chooseTarget(entry.views, {prefixHash, random}) as View,
-	ours: (entry, prefixHash, random, now) => askAround(entry, prefixHash, random, now),
+	ours: (entry, prefixHash, random, now) => chooseWithProbes(entry, prefixHash, random, now),
 };
 
-/* The ideal knows every target as it is now and takes the one that is free first. */
-const chooseIdeal = (machines: readonly Machine[], now: number): Machine => {
+/* Upper bound for the policies: knows the current state of all targets and picks the one that is free first. */
+const chooseWithFullKnowledge = (machines: readonly Machine[], now: number): Machine => {
 	let best = machines[0];
 	let earliest = Number.POSITIVE_INFINITY;
 	for (const machine of machines) {
-		const wait = getWait(machine, now) + (machine.slowness > 1 ? meanServiceMs : 0);
+		const wait = getWaitMs(machine, now) + (machine.slowness > 1 ? meanServiceMs : 0);
 		if (wait < earliest) {
 			earliest = wait;
 			best = machine;
@@ -138,12 +139,12 @@
 
 	const isHit = machine.prefixes.delete(prefix);
 	machine.prefixes.set(prefix, true);
-	if (machine.prefixes.size > cachedPrefixes) {
+	if (machine.prefixes.size > prefixCacheSize) {
 		const [oldest] = machine.prefixes.keys();
 		machine.prefixes.delete(oldest);
 	}
 
-	// Mixed lengths: one request in eight is five times as long as the others.
+	// One request in eight is five times as long as the others.
 	const length = random() < 0.125 ? 10 / 3 : 2 / 3;
 	const serviceMs = meanServiceMs * length * machine.slowness * (isHit ? 1 - prefixSaving : 1);
 	const start = Math.max(now, machine.freeAt[server]);
@@ -154,14 +155,14 @@
 	return {waitMs: start - now, isHit};
 };
 
-const observe = (machine: Machine, now: number): {running: number; waiting: number} => {
+const readLoad = (machine: Machine, now: number): {running: number; waiting: number} => {
 	machine.jobs = machine.jobs.filter(({end}) => end > now);
 	const running = machine.jobs.filter(({start}) => start <= now).length;
 	return {running, waiting: machine.jobs.length - running};
 };
 
-const refresh = (entries: readonly Entry[], machines: readonly Machine[], now: number): void => {
-	const states = new Map(machines.map(machine => [machine.id, observe(machine, now)]));
+const updateReportedLoads = (entries: readonly Entry[], machines: readonly Machine[], now: number): void => {
+	const states = new Map(machines.map(machine => [machine.id, readLoad(machine, now)]));
 	for (const entry of entries) {
 		for (const view of entry.views) {
 			Object.assign(view, states.get(view.id), {sentSinceReport: 0});
@@ -205,26 +206,26 @@
 	let nextReport = 0;
 	let decidingMs = 0;
 	while (now < endMs) {
-		// A burst for a tenth of the time: a fifth more, within what the targets can take in the mean.
+		// During a tenth of the time the rate is 20% higher; the mean rate stays within the targets' capacity.
 		const isBurst = (now % 10_000) < 1000;
 		now -= Math.log(1 - random()) / (ratePerMs * (isBurst ? 1.2 : 0.978));
 		if (lagMs > 0 && now >= nextReport) {
 			nextReport = now + lagMs;
-			refresh(entries, machines, now);
+			updateReportedLoads(entries, machines, now);
 		}
 
-		const prefix = Math.floor(knownPrefixes * (random() ** 3));
+		const prefix = Math.floor(prefixCount * (random() ** 3));
 		const entry = entries[Math.floor(random() * entries.length)];
 		if (lagMs === 0) {
 			for (const view of entry.views) {
-				Object.assign(view, observe(view.machine, now), {sentSinceReport: 0});
+				Object.assign(view, readLoad(view.machine, now), {sentSinceReport: 0});
 			}
 		}
 
 		const before = performance.now();
 		const view = name === 'ideal' ? undefined : policies[name](entry, hashText(String(prefix)), random, now);
 		decidingMs += performance.now() - before;
-		const machine = view?.machine ?? chooseIdeal(machines, now);
+		const machine = view?.machine ?? chooseWithFullKnowledge(machines, now);
 		if (view) {
 			view.sentSinceReport++;
 		}
@@ -232,7 +233,7 @@
 		const {waitMs, isHit} = serve(machine, prefix, now, random);
 		hits += isHit ? 1 : 0;
 		if (now > endMs / 4) {
-			waits.push(waitMs + (view && !view.isLocal ? remoteMs : 0) + (entry.refusals * remoteMs));
+			waits.push(waitMs + (view && !view.isLocal ? crossZoneLatencyMs : 0) + (entry.refusals * crossZoneLatencyMs));
 		}
 	}
 
@@ -252,8 +253,11 @@
 	};
 };
 
-/** Compares routing policies in a seeded replay of the decision functions. */
-export async function benchRouting(words: readonly string[]): Promise<void> {
+/**
+ * Compares routing policies in a seeded simulation that calls the product's decision functions. `--quick` runs one load-report
+ * interval.
+ */
+export async function benchRouting(args: readonly string[]): Promise<void> {
 	const sizes: Size[] = [
 		{
 			targets: 16, entries: 8, zones: 3, subset: 20, seconds: 240,
@@ -264,7 +268,7 @@
 	];
 	const cases = [];
 	for (const size of sizes) {
-		for (const lagMs of words.includes('--quick') ? [1000] : [0, 500, 1000, 2000, 8000]) {
+		for (const lagMs of args.includes('--quick') ? [1000] : [0, 500, 1000, 2000, 8000]) {
 			if (lagMs === 0 && size.targets > 100) {
 				continue;
 			}
--- a/features/steps/restored-store-steps.ts
+++ b/features/steps/restored-store-steps.ts
@@ -1,7 +1,7 @@
 import assert from 'node:assert/strict';
 import {Given, Then, When} from '@cucumber/cucumber';
 import {Registry} from 'prom-client';
-import {makeViewGauges} from '../../src/metrics/make-view-gauges.js';
+import {registerViewGauges} from '../../src/metrics/register-view-gauges.js';
 import {StoreSimulation} from '../support/store-simulation.js';
 import {injectRandomFaults} from '../support/inject-random-faults.js';
 import {type SystemWorld} from '../support/system-world.js';
@@ -33,7 +33,7 @@
 
 	await simulation.advance(settleMs);
 	if (world.notes.has('silent waits')) {
-		simulation.store.silenceWaits('1');
+		simulation.store.hangWaits('1');
 	}
 
 	await simulation.restoreFromBackup({outageMs, rewriteDelayMs: 0, isSilent});
@@ -87,7 +87,7 @@
 });
 
 When('the store does not report its era', function (this: SystemWorld) {
-	getSimulation(this).store.tellsEra = false;
+	getSimulation(this).store.reportsEra = false;
 });
 
 When('the operator changes the configuration twice, and the store is restored without the second change', async function (this: SystemWorld) {
@@ -100,7 +100,7 @@
 	await simulation.advance(settleMs);
 	simulation.setFault('down');
 	await simulation.advance(300);
-	simulation.store.goBack();
+	simulation.store.restoreCopy();
 	simulation.setFault('none');
 	await simulation.advance(settleMs);
 });
@@ -208,7 +208,7 @@
 	const simulation = getSimulation(this);
 	for (const {id, state: {view}} of simulation.entries.values()) {
 		const registry = new Registry();
-		makeViewGauges(registry, () => view, () => simulation.now);
+		registerViewGauges(registry, () => view, () => simulation.now);
 		const text = await registry.metrics();
 		assert.match(text, /^wardswitch_store_era 1$/mv);
 		assert.match(text, new RegExp(`^wardswitch_view_revision ${simulation.store.lastRevision}$`, 'mv'));
@@ -238,7 +238,7 @@
 });
 
 Then('no more than {int} writes have reached the store within {int} ms', function (this: SystemWorld, most: number, ms: number) {
-	const {writtenAt} = getSimulation(this).store;
+	const {writeTimes: writtenAt} = getSimulation(this).store;
 	const counts = writtenAt.map(at => writtenAt.filter(other => other >= at && other < at + ms).length);
 	assert.ok(Math.max(...counts) <= most, counts.join(', '));
 });
--- a/features/support/forward-system.ts
+++ b/features/support/forward-system.ts
@@ -85,7 +85,7 @@
 	/** Starts an entry; `isWaiting` says whether to wait until it is ready. */
 	async addEntry(id: string, isWaiting = true): Promise<Entry> {
 		const [httpPort, linkPort, readyPort, metricsPort] = await findFreePorts(4);
-		const store = this.store.open(id);
+		const store = this.store.createClient(id);
 		const entry = await startForwardEntry(ForwardEntrySettings.parse({
 			id,
 			availabilityZone: 'barre-hall',
--- a/src/entry/entry-controller.ts
+++ b/src/entry/entry-controller.ts
@@ -66,7 +66,7 @@
 		await this.refreshVmList();
 		this.tick();
 		this.timer = setInterval(() => {
-			this.options.metrics.measureControl(() => {
+			this.options.metrics.measureControlCpu(() => {
 				this.tick();
 			});
 		}, tickIntervalMs);
--- a/src/log-search/parse-log-line.ts
+++ b/src/log-search/parse-log-line.ts
@@ -1,16 +1,16 @@
 import {z} from 'zod';
 import {type LogLine} from './log-line.js';
 
-const written = z.object({
+const rawLine = z.object({
 	context: z.object({part: z.string()}),
 	message: z.string(),
 	time: z.number(),
 });
 
-/* A time that a collector puts before each line changes from line to line, and names no process. */
-const withoutTimes = (prefix: string): string => prefix.split(' ').filter(word => word !== '' && !/^[\-\d.:TZ]+$/v.test(word)).join(' ');
+/* Removes the times that a collector adds: they differ from line to line, so the rest identifies the process. */
+const removeTimes = (prefix: string): string => prefix.split(' ').filter(word => word !== '' && !/^[\-\d.:TZ]+$/v.test(word)).join(' ');
 
-/** Reads one line of a log; undefined when it is none of ours. */
+/** Parses one line of a log; undefined if no process of the system wrote it. */
 export function parseLogLine(text: string): LogLine | undefined {
 	const start = text.indexOf('{');
 	if (start === -1) {
@@ -18,10 +18,10 @@
 	}
 
 	try {
-		const parsed = written.safeParse(JSON.parse(text.slice(start)));
+		const parsed = rawLine.safeParse(JSON.parse(text.slice(start)));
 		return parsed.success
 			? {
-				source: withoutTimes(text.slice(0, start)), time: parsed.data.time, part: parsed.data.context.part, message: parsed.data.message,
+				source: removeTimes(text.slice(0, start)), time: parsed.data.time, part: parsed.data.context.part, message: parsed.data.message,
 			}
 			: undefined;
 	} catch {
--- a/src/log/log-writer.ts
+++ b/src/log/log-writer.ts
@@ -1,20 +1,21 @@
 import {write, writeSync} from 'node:fs';
 
 type WriterOptions = {
-	/** File descriptor that lines go to. */
+	/** File descriptor that lines are written to. */
 	readonly descriptor: number;
-	/** Most lines in one second; the rest is counted and left out. */
+	/** Maximum number of lines per second; further lines are dropped and counted. */
 	readonly linesPerSecond: number;
+	/** The present time, milliseconds. */
 	readonly clock: () => number;
 };
 
-/** Lines that wait while the reader is slow, characters; beyond them lines are left out. */
-const mostPending = 256 * 1024;
-/** Time for which lines are collected into one write, milliseconds. */
-const collectMs = 50;
+/** Maximum size of the lines that wait for a slow reader, characters; further lines are dropped. */
+const maximumPendingCharacters = 256 * 1024;
+/** Time for which lines are batched into one write, milliseconds. */
+const flushIntervalMs = 50;
 const secondMs = 1000;
 
-/** Writes log lines without ever waiting for their reader: bounded in rate and in what is kept, and says what it left out. */
+/** Writes log lines without blocking on the reader. The rate and the buffer are bounded; the number of dropped lines is logged. */
 export class LogWriter {
 	private pending: string[] = [];
 	private pendingSize = 0;
@@ -22,54 +23,54 @@
 	private timer: NodeJS.Timeout | undefined;
 	private secondStart = 0;
 	private linesInSecond = 0;
-	private omitted = 0;
+	private droppedLines = 0;
 
 	constructor(private readonly options: WriterOptions) {}
 
-	/** Takes a line, or counts it as left out. */
+	/** Queues a line for writing, or drops and counts it when the rate or the buffer is exhausted. */
 	add(line: string): void {
 		const now = this.options.clock();
 		if (now - this.secondStart >= secondMs) {
 			this.secondStart = now;
 			this.linesInSecond = 0;
-			this.reportOmitted();
+			this.reportDroppedLines();
 		}
 
 		this.linesInSecond++;
-		if (this.linesInSecond > this.options.linesPerSecond || this.pendingSize + line.length > mostPending) {
-			this.omitted++;
+		if (this.linesInSecond > this.options.linesPerSecond || this.pendingSize + line.length > maximumPendingCharacters) {
+			this.droppedLines++;
 			return;
 		}
 
-		this.push(line);
+		this.enqueue(line);
 	}
 
-	/** Writes what is left, at the process's end. */
-	finish(): void {
+	/** Writes the pending lines synchronously; called when the process exits. */
+	flushSync(): void {
 		clearTimeout(this.timer);
-		this.reportOmitted();
+		this.reportDroppedLines();
 		try {
 			writeSync(this.options.descriptor, this.pending.join(''));
 		} catch {
-			// The reader is gone: there is nobody left to tell.
+			// The reader has closed the pipe; the lines are lost.
 		}
 
 		this.pending = [];
 	}
 
-	private push(line: string): void {
+	private enqueue(line: string): void {
 		this.pending.push(`${line}\n`);
 		this.pendingSize += line.length + 1;
 		this.timer ??= setTimeout(() => {
 			this.flush();
-		}, collectMs);
+		}, flushIntervalMs);
 		this.timer.unref();
 	}
 
-	private reportOmitted(): void {
-		if (this.omitted > 0) {
-			this.push(JSON.stringify({message: `log: ${this.omitted} lines left out`, context: {part: 'log'}}));
-			this.omitted = 0;
+	private reportDroppedLines(): void {
+		if (this.droppedLines > 0) {
+			this.enqueue(JSON.stringify({message: `log: ${this.droppedLines} lines dropped`, context: {part: 'log'}}));
+			this.droppedLines = 0;
 		}
 	}
 
--- a/src/metrics/forward-metrics.ts
+++ b/src/metrics/forward-metrics.ts
@@ -5,7 +5,7 @@
 import {type Problem} from '../requests/problem.js';
 import {makeLinkMeter} from './make-link-meter.js';
 
-/** The metrics of an entry that forwards straight to targets, in one registry. */
+/** The Prometheus metrics of an entry that forwards directly to targets. */
 export class ForwardMetrics {
 	readonly registry = new Registry();
 	readonly meterLink = makeLinkMeter(this.registry);
@@ -31,19 +31,21 @@
 		registers: [this.registry],
 	});
 
-	readonly resting = new Gauge({
+	/** Targets in the cooldown that they requested. */
+	readonly cooldownTargets = new Gauge({
 		name: 'wardswitch_resting_targets',
 		help: 'Targets that have asked this process to send them nothing for a while, which is not over',
 		registers: [this.registry],
 	});
 
-	readonly limited = new Gauge({
+	/** Targets that announced a limit on requests per second. */
+	readonly rateLimitedTargets = new Gauge({
 		name: 'wardswitch_limited_targets',
 		help: 'Targets that take so many requests a second only from all entries together',
 		registers: [this.registry],
 	});
 
-	readonly seconds = new Histogram({
+	readonly requestSeconds = new Histogram({
 		name: 'wardswitch_request_seconds',
 		help: 'Time from a request to the end of its answer, seconds',
 		labelNames: ['service'] as const,
@@ -57,11 +59,11 @@
 		registers: [this.registry],
 	});
 
-	/** Notes the end of a request. */
-	noteEnd(exchange: ForwardExchange, problem: Problem | undefined, now: number): void {
+	/** Records the outcome and the duration of a request; `problem` is undefined if a target answered, `now` is in milliseconds. */
+	recordEnd(exchange: ForwardExchange, problem: Problem | undefined, now: number): void {
 		const {service, response, arrivedAt} = exchange;
 		const status = String(problem?.options.status ?? response.statusCode);
 		this.requests.inc({service, status, outcome: problem?.options.outcome ?? 'answered'});
-		this.seconds.observe({service}, (now - arrivedAt) / 1000);
+		this.requestSeconds.observe({service}, (now - arrivedAt) / 1000);
 	}
 }
--- a/src/metrics/process-metrics.ts
+++ b/src/metrics/process-metrics.ts
@@ -3,13 +3,13 @@
 	Counter, Gauge, Histogram, Registry, collectDefaultMetrics,
 } from 'prom-client';
 
-/** Time between two samples of the event loop's lag, milliseconds; the default of 10 alone costs 1% of a core. */
-const lagSampleMs = 500;
+/** Sampling interval of the event loop lag, milliseconds; the default of 10 ms costs 1% of a core. */
+const eventLoopSampleIntervalMs = 500;
 
-/** The metrics that every process of the system has, in one registry. */
+/** The Prometheus metrics of `wardswitch-entry` and `wardswitch-target`. */
 export class ProcessMetrics {
 	readonly registry = new Registry();
-	/** Bytes on links, control apart from callers' requests. */
+	/** Bytes on links; control messages and callers' requests are counted separately. */
 	readonly linkBytes = new Counter({
 		name: 'wardswitch_link_bytes_total',
 		help: 'Bytes of frames on links, by direction and class (control, request)',
@@ -51,7 +51,7 @@
 		registers: [this.registry],
 	});
 
-	readonly firstPart = new Histogram({
+	readonly firstPartSeconds = new Histogram({
 		name: 'wardswitch_first_part_seconds',
 		help: 'Time from a request to the first part of its answer, seconds',
 		labelNames: ['service'] as const,
@@ -59,27 +59,27 @@
 		registers: [this.registry],
 	});
 
-	readonly controlSeconds = new Counter({
+	readonly controlCpuSeconds = new Counter({
 		name: 'wardswitch_control_cpu_seconds_total',
 		help: 'Processor time spent in control work (heartbeats, table, loans, reports), seconds',
 		registers: [this.registry],
 	});
 
 	constructor() {
-		collectDefaultMetrics({register: this.registry, eventLoopMonitoringPrecision: lagSampleMs});
+		collectDefaultMetrics({register: this.registry, eventLoopMonitoringPrecision: eventLoopSampleIntervalMs});
 	}
 
-	/** A meter for links that feeds `linkBytes`. */
+	/** Link meter that counts in `linkBytes`. */
 	readonly meterLink = (direction: 'sent' | 'received', isControl: boolean, bytes: number): void => {
 		this.linkBytes.inc({direction, class: isControl ? 'control' : 'request'}, bytes);
 	};
 
-	/** Runs control work and counts its processor time. */
-	measureControl<Value>(work: () => Value): Value {
+	/** Runs synchronous control work and adds its CPU time to `controlCpuSeconds`. */
+	measureControlCpu<Value>(work: () => Value): Value {
 		const before = process.cpuUsage();
 		const value = work();
 		const spent = process.cpuUsage(before);
-		this.controlSeconds.inc((spent.user + spent.system) / 1_000_000);
+		this.controlCpuSeconds.inc((spent.user + spent.system) / 1_000_000);
 		return value;
 	}
 }
--- a/src/target/start-target.ts
+++ b/src/target/start-target.ts
@@ -212,7 +212,7 @@
 		requests.tick(clock());
 	}, tickIntervalMs);
 	const reporter = setInterval(() => {
-		metrics.measureControl(() => {
+		metrics.measureControlCpu(() => {
 			links.broadcast({type: 'load', load: getLoad(), tableVersion});
 		});
 	}, loadReportIntervalMs);
--- a/stand-ins/forward/memory-store.ts
+++ b/stand-ins/forward/memory-store.ts
@@ -11,36 +11,38 @@
 type Lease = {readonly lifeMs: number; endsAt: number};
 type Copy = {readonly items: ReadonlyMap<string, Item>; readonly revision: number; readonly leases: ReadonlyMap<string, Lease>; readonly granted: number};
 
-/** Time beyond its wait after which a call that is not answered is given up on, milliseconds. */
-const patienceMs = 700;
+/** Time after its wait at which an unanswered call fails with a timeout, milliseconds. */
+const clientTimeoutMarginMs = 700;
 
-/** A key-value service in memory, with changes and faults for each of the processes that use it. */
+/** An in-memory stand-in of the key-value service, with leases, watches, and faults per client process. */
 export class MemoryStore {
-	/** Whether its answers tell that it has come back from a copy. */
-	tellsEra = true;
-	/** Calls that each process has made. */
+	/** Whether the era in its answers rises when it is restored from a copy. */
+	reportsEra = true;
+	/** Number of calls by process. */
 	readonly calls = new Map<string, number>();
-	/** When calls that write have come in, milliseconds. */
-	readonly writtenAt: number[] = [];
+	/** Arrival times of the calls that write, milliseconds. */
+	readonly writeTimes: number[] = [];
 	private items = new Map<string, Item>();
 	private history: Change[] = [];
 	private revision = 0;
 	private era = 0;
-	private forgottenTo = 0;
-	/** Calls that wait for changes: of which process, and from which revision they go on. */
-	private readonly waiting = new Map<() => void, {readonly process: string; readonly after: number}>();
-	/** Calls that wait and are never answered: those who made them give up on them later. */
-	private readonly unanswered = new Set<() => void>();
+	private compactedTo = 0;
+	/** Calls that wait for changes: the calling process, and the revision that it has seen. */
+	private readonly waiters = new Map<() => void, {readonly process: string; readonly after: number}>();
+	/** Waiting calls that are never answered; they fail with the client's timeout. */
+	private readonly unansweredWaiters = new Set<() => void>();
 	private readonly faults = new Map<string, Fault>();
 	private leases = new Map<string, Lease>();
+	/** Number of granted leases; the latest lease's id. */
 	private granted = 0;
 	private copy: Copy | undefined;
 
 	/**
-	 * @param clock - the present, milliseconds; leases last for ever while it stands still
+	 * @param clock - the present time, milliseconds; leases never expire while it does not advance
 	 */
 	constructor(private readonly clock = () => 0) {}
 
+	/** Revision of the latest write. */
 	get lastRevision(): number {
 		return this.revision;
 	}
@@ -52,30 +54,30 @@
 			key, value: typeof value === 'string' ? value : JSON.stringify(value), revision: this.revision, lease,
 		};
 		this.items.set(key, item);
-		this.note(item);
+		this.recordChange(item);
 	}
 
-	/** Removes a key, as the service does when a lease lapses. */
+	/** Removes a key, as the service does when a lease expires. */
 	remove(key: string): void {
 		if (this.items.delete(key)) {
 			this.revision++;
-			this.note({key, revision: this.revision, isRemoved: true});
+			this.recordChange({key, revision: this.revision, isRemoved: true});
 		}
 	}
 
-	/** What the service holds under a key; undefined when nothing. */
+	/** Returns the value of a key; undefined if there is none. */
 	read(key: string): string | undefined {
 		return this.items.get(key)?.value;
 	}
 
-	/** Forgets the history of changes. */
+	/** Compacts the history of changes; reads from an earlier revision then have to start again. */
 	compact(): void {
 		this.history = [];
-		this.forgottenTo = this.revision;
-		this.wake();
+		this.compactedTo = this.revision;
+		this.wakeWaiters();
 	}
 
-	/** Takes the copy that `goBack` returns to. */
+	/** Takes the copy that `restoreCopy` restores. */
 	takeCopy(): void {
 		this.copy = {
 			items: new Map(this.items), revision: this.revision, leases: new Map(this.leases), granted: this.granted,
@@ -83,48 +85,48 @@
 	}
 
 	/**
-	 * Comes back from the copy taken last, in a new era: what was written since is gone, and its revisions are given out again.
+	 * Restores the copy taken last and begins a new era: later writes are lost, and their revisions are assigned again.
 	 *
-	 * @param isSilent - whether calls that wait for changes stay as they are instead of being answered
+	 * @param isSilent - whether calls that wait for changes keep waiting instead of being answered
 	 */
-	goBack(isSilent = false): void {
+	restoreCopy(isSilent = false): void {
 		const {items, revision, leases, granted} = this.copy!;
 		this.items = new Map(items);
 		this.revision = revision;
 		this.leases = new Map(leases);
 		this.granted = granted;
 		this.history = this.history.filter(change => change.revision <= revision);
-		this.forgottenTo = Math.min(this.forgottenTo, revision);
-		this.era += this.tellsEra ? 1 : 0;
+		this.compactedTo = Math.min(this.compactedTo, revision);
+		this.era += this.reportsEra ? 1 : 0;
 		if (!isSilent) {
-			this.wake();
+			this.wakeWaiters();
 		}
 	}
 
-	/** Has the calls that wait now never be answered, but for one process's, as on connections that have gone silent. */
-	silenceWaits(spared: string): void {
-		for (const [wake, {process}] of this.waiting) {
+	/** Leaves the calls that wait now unanswered, except those of the process `spared`, as on half-open connections. */
+	hangWaits(spared: string): void {
+		for (const [waiter, {process}] of this.waiters) {
 			if (process !== spared) {
-				this.unanswered.add(wake);
+				this.unansweredWaiters.add(waiter);
 			}
 		}
 	}
 
-	/** Sets what a process's calls come to. */
+	/** Sets the fault that all calls of a process meet. */
 	setFault(process: string, fault: Fault): void {
 		if (fault !== this.getFault(process)) {
 			this.faults.set(process, fault);
-			this.wake();
+			this.wakeWaiters();
 		}
 	}
 
-	/** What a process's calls come to. */
+	/** Returns the fault that the calls of a process meet. */
 	getFault(process: string): Fault {
 		return this.faults.get(process) ?? 'none';
 	}
 
-	/** Ends leases that were not renewed in time, and removes their keys. */
-	expire(): void {
+	/** Removes the leases that were not renewed in time, and their keys. */
+	expireLeases(): void {
 		const now = this.clock();
 		for (const [id, {endsAt}] of this.leases) {
 			if (endsAt <= now) {
@@ -136,8 +138,8 @@
 		}
 	}
 
-	/** The service as one process uses it. */
-	open(process: string): ChangeFeed & Registry {
+	/** Creates the client that one process uses. */
+	createClient(process: string): ChangeFeed & Registry {
 		const fail = () => err(new PlatformError('the store does not answer', 'unknown'));
 		const isFaulty = () => this.getFault(process) !== 'none';
 		const count = () => {
@@ -158,7 +160,7 @@
 					return fail();
 				}
 
-				return after < this.forgottenTo || after > this.revision
+				return after < this.compactedTo || after > this.revision
 					? ok({kind: 'forgotten' as const, era: this.era})
 					: ok({
 						kind: 'changes' as const, era: this.era, asOf: this.revision, changes: this.history.filter(change => change.revision > after && change.key.startsWith(prefix)),
@@ -167,7 +169,7 @@
 			get: async key => isFaulty() ? fail() : ok(this.items.get(key)),
 			commit: async ({conditions, puts}) => {
 				count();
-				this.writtenAt.push(this.clock());
+				this.writeTimes.push(this.clock());
 				if (isFaulty()) {
 					return fail();
 				}
@@ -188,7 +190,7 @@
 			},
 			grantLeaseFor: async lifeMs => {
 				count();
-				this.writtenAt.push(this.clock());
+				this.writeTimes.push(this.clock());
 				if (isFaulty()) {
 					return fail();
 				}
@@ -213,47 +215,47 @@
 		};
 	}
 
-	private note(change: Change): void {
+	private recordChange(change: Change): void {
 		this.history.push(change);
-		for (const [wake, {after}] of this.waiting) {
-			if (this.revision > after && !this.unanswered.has(wake)) {
-				wake();
+		for (const [waiter, {after}] of this.waiters) {
+			if (this.revision > after && !this.unansweredWaiters.has(waiter)) {
+				waiter();
 			}
 		}
 	}
 
-	private wake(): void {
-		for (const wake of this.waiting.keys()) {
-			if (!this.unanswered.has(wake)) {
-				wake();
+	private wakeWaiters(): void {
+		for (const waiter of this.waiters.keys()) {
+			if (!this.unansweredWaiters.has(waiter)) {
+				waiter();
 			}
 		}
 	}
 
-	/* Gives whether the call is answered. */
+	/* Waits for a change after a revision or for the end of the wait; false if the call is left unanswered. */
 	private async waitFor(process: string, after: number, waitMs: number): Promise<boolean> {
 		if (this.revision !== after) {
 			return true;
 		}
 
 		return new Promise<boolean>(resolve => {
-			const wake = (): void => {
+			const answerWaiter = (): void => {
 				clearTimeout(timer);
-				this.waiting.delete(wake);
+				this.waiters.delete(answerWaiter);
 				resolve(true);
 			};
 
 			const end = (): void => {
-				if (this.unanswered.delete(wake)) {
-					this.waiting.delete(wake);
-					setTimeout(resolve, patienceMs, false);
+				if (this.unansweredWaiters.delete(answerWaiter)) {
+					this.waiters.delete(answerWaiter);
+					setTimeout(resolve, clientTimeoutMarginMs, false);
 				} else {
-					wake();
+					answerWaiter();
 				}
 			};
 
 			const timer = setTimeout(end, waitMs);
-			this.waiting.set(wake, {process, after});
+			this.waiters.set(answerWaiter, {process, after});
 		});
 	}
 }
--- a/stand-ins/platform/start-key-value-service.ts
+++ b/stand-ins/platform/start-key-value-service.ts
@@ -17,15 +17,15 @@
 	return JSON.parse(text) as Body;
 };
 
-/** Faults that a scenario can set on the key-value stand-in. */
+/** Faults that a scenario can inject into the key-value stand-in. */
 type Faults = {
-	/** Every call is cut. */
+	/** The connection of every call is closed. */
 	isDown: boolean;
-	/** Milliseconds before each answer. */
+	/** Delay before each answer, milliseconds. */
 	delayMs: number;
-	/** Writes whose answer is lost after they took effect, still to come. */
+	/** Number of coming writes that take effect but whose answer is lost. */
 	lostAnswers: number;
-	/** Watches deliver nothing while set. */
+	/** While set, watches deliver no events. */
 	isWatchSilent: boolean;
 };
 
@@ -66,7 +66,7 @@
 
 	const answer = (path: string, body: Body): unknown => {
 		const header = () => ({revision: String(store.revision)});
-		store.expire(now());
+		store.expireLeases(now());
 		switch (path) {
 			case '/v3/kv/range': {
 				return {kvs: store.range(body.key as string, body.range_end as string | undefined), header: header()};
@@ -78,11 +78,11 @@
 			}
 
 			case '/v3/lease/grant': {
-				return {ID: store.grant(Number(body.TTL), now()), TTL: body.TTL as string};
+				return {ID: store.grantLease(Number(body.TTL), now()), TTL: body.TTL as string};
 			}
 
 			default: {
-				return {result: {ID: body.ID as string, TTL: String(store.keep(body.ID as string, now()))}};
+				return {result: {ID: body.ID as string, TTL: String(store.renewLease(body.ID as string, now()))}};
 			}
 		}
 	};
